--- a/crates/basilbank_forward/src/call.rs
+++ b/crates/basilbank_forward/src/call.rs
@@ -24,7 +24,7 @@
 impl Digest {
     /// The digest of the same call by a team: another team's call is another one.
     #[must_use]
-    pub fn by(self, team: TeamId) -> Digest {
+    pub fn for_team(self, team: TeamId) -> Digest {
         Digest(xxh3_64_with_seed(&team.0.to_le_bytes(), self.0))
     }
 }
@@ -41,7 +41,7 @@
     /// The shell's number for it.
     pub id: RequestId,
     /// The caller's own id of the attempt, for logs.
-    pub trace: String,
+    pub trace_id: String,
     /// What it asks for.
     pub digest: Digest,
     /// The host that was asked for, in lowercase and without a port.
@@ -51,7 +51,7 @@
     /// What the caller shows to be let in.
     pub credential: Credential,
     /// How long the caller waits; `None` when it doesn't say.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The prompt's sizes, for calls to model endpoints.
     pub prompt: Option<Prompt>,
 }
@@ -62,9 +62,9 @@
     /// Prompt tokens.
     pub tokens: u32,
     /// Most tokens to generate.
-    pub most: u32,
+    pub max_output: u32,
     /// The caller's estimate of the tokens to generate; right at the median, often far off.
-    pub hint: Option<u32>,
+    pub output_hint: Option<u32>,
     /// Names the part of the prompt that belongs to this call or its session alone; a call that its
     /// caller repeats has the same.
     pub session: Option<u64>,
@@ -73,7 +73,7 @@
 impl Prompt {
     /// Tokens that are expected to be generated.
     #[must_use]
-    pub fn output(&self) -> u32 {
-        self.hint.unwrap_or(self.most).min(self.most)
+    pub fn expected_output(&self) -> u32 {
+        self.output_hint.unwrap_or(self.max_output).min(self.max_output)
     }
 }
--- a/crates/basilbank_forward/src/effect.rs
+++ b/crates/basilbank_forward/src/effect.rs
@@ -7,7 +7,7 @@
 use crate::{
     call::RequestId,
     endpoint::{EndpointKey, Stage},
-    note::Note,
+    log_line::LogLine,
     reason::Refusal,
 };
 
@@ -42,24 +42,24 @@
         /// Why.
         refusal: Refusal,
         /// When another try may succeed.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// End a stream that has begun and can't be finished, so that it doesn't look complete.
-    Cut {
+    AbortStream {
         /// The request.
         request: RequestId,
         /// Why.
         refusal: Refusal,
     },
     /// Free a KV cache that nobody will take.
-    Free {
+    FreeKv {
         /// The endpoint.
         target: Target,
         /// The KV cache's name.
         handle: String,
     },
     /// Give a held slot back.
-    Drop {
+    ReleaseHold {
         /// The endpoint.
         target: Target,
         /// The hold's name.
@@ -77,16 +77,16 @@
         fence: u64,
     },
     /// Send a datagram to peers.
-    SendBeat {
+    SendGossip {
         /// To whom.
         to: Vec<SocketAddr>,
         /// What to say.
-        beat: Box<LoadBeat>,
+        gossip: Box<LoadBeat>,
     },
     /// An endpoint is gone: close what is kept open to it once it is idle.
-    Forget(EndpointKey),
+    CloseConnections(EndpointKey),
     /// A line for the log, and a counter.
-    Note(Note),
+    Log(LogLine),
 }
 
 /// An endpoint, as calls need it.
@@ -115,11 +115,11 @@
     pub remaining: Duration,
     /// How long to wait for an answer, or for a stream's first bytes, before the endpoint is asked
     /// whether it lives. One that lives is waited for.
-    pub limit: Duration,
+    pub answer_timeout: Duration,
     /// A stream that is silent for this long counts as broken off, unless its endpoint says that it
     /// lives; `None` when it can't go on
     /// elsewhere, and its silence is no reason to end it.
-    pub stall: Option<Duration>,
+    pub stall_timeout: Option<Duration>,
 }
 
 /// What an endpoint shall do.
--- a/crates/basilbank_forward/src/event.rs
+++ b/crates/basilbank_forward/src/event.rs
@@ -20,9 +20,9 @@
     /// A call came in, whole.
     Arrived(Box<Call>),
     /// The caller left, or its answer has been written to its end.
-    Left(RequestId),
+    CallerLeft(RequestId),
     /// An attempt came to something. An attempt that streams gives two: its start and its end.
-    Came {
+    AttemptOutcome {
         /// The request.
         request: RequestId,
         /// The attempt's number within the request.
@@ -31,37 +31,37 @@
         outcome: Outcome,
     },
     /// The configuration was read.
-    Routes {
+    RoutesRead {
         /// Where.
-        read: Revisions,
+        revisions: Revisions,
         /// It, unless it has not changed.
         table: Option<Arc<RouteTable>>,
     },
     /// The store has answered a question about the configuration: the one in force was the newest then.
-    Confirmed {
+    RoutesConfirmed {
         /// When the question went out.
-        asked: Duration,
+        asked_at: Duration,
     },
     /// The whole list of endpoints was read.
-    Endpoints {
+    EndpointsRead {
         /// Where.
-        read: Revisions,
+        revisions: Revisions,
         /// All that are listed.
         list: Vec<EndpointInfo>,
     },
     /// Changes of the list were read.
-    Changed {
+    EndpointsChanged {
         /// Where.
-        read: Revisions,
+        revisions: Revisions,
         /// New or changed entries.
-        listed: Vec<EndpointInfo>,
+        updated: Vec<EndpointInfo>,
         /// Instances that are no longer listed.
-        gone: Vec<String>,
+        removed: Vec<String>,
     },
     /// The list of endpoints could not be read.
     StoreLost,
     /// The store has no change of a topic with this revision, though a peer has told of it.
-    Disproved {
+    RevisionNotFound {
         /// The topic.
         topic: Topic,
         /// The revision.
@@ -72,7 +72,7 @@
         /// The endpoint.
         endpoint: EndpointKey,
         /// What came of it.
-        life: Life,
+        liveness: Liveness,
     },
     /// An answer says how many calls a second its endpoint takes from all daemons together.
     CallLimit {
@@ -82,21 +82,21 @@
         rate: Option<f64>,
     },
     /// An order to an endpoint was answered.
-    Ordered {
+    OrderAnswered {
         /// The endpoint.
         endpoint: EndpointKey,
         /// It was accepted.
-        accepted: Acceptance,
+        acceptance: Acceptance,
     },
     /// A peer's datagram.
-    Beat {
+    Gossip {
         /// Where it came from.
         from: SocketAddr,
         /// What it says.
-        beat: Box<LoadBeat>,
+        gossip: Box<LoadBeat>,
     },
     /// The settings say whether this daemon orders endpoints.
-    Right(OrderRight),
+    OrderRight(OrderRight),
     /// SIGTERM.
     Shutdown {
         /// Time until what is still in progress is cut.
@@ -107,18 +107,18 @@
 impl Event {
     /// A datagram of a peer.
     #[must_use]
-    pub fn beat(from: SocketAddr, beat: LoadBeat) -> Event {
-        Event::Beat { from, beat: Box::new(beat) }
+    pub fn gossip(from: SocketAddr, gossip: LoadBeat) -> Event {
+        Event::Gossip { from, gossip: Box::new(gossip) }
     }
 }
 
 /// Whether an endpoint answered when it was asked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Life {
+pub enum Liveness {
     /// It answered, whatever it said.
     Alive,
     /// No connection, or no answer in time.
-    Dark,
+    Unreachable,
 }
 
 /// How an endpoint answered an order.
@@ -218,7 +218,7 @@
     /// It is full, leaving, or lacks the KV cache: it doesn't say which.
     Busy {
         /// When it says that another try may succeed.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Another instance has the address, or it has another stage by now.
     WrongInstance,
--- a/crates/basilbank_forward/src/lib.rs
+++ b/crates/basilbank_forward/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod effect;
 pub mod endpoint;
 pub mod event;
-pub mod note;
+pub mod log_line;
 pub mod prelude;
 pub mod reading;
 pub mod reason;
--- a/crates/basilbank_forward/src/note.rs
+++ b/crates/basilbank_forward/src/log_line.rs
@@ -6,31 +6,31 @@
 
 /// A line of the log: a name, and pairs in order.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Note {
+pub struct LogLine {
     /// A stable name.
     pub name: &'static str,
     /// Key=value pairs.
     pub pairs: Vec<(&'static str, String)>,
     /// What counters and histograms take from it.
-    pub measure: Option<Measure>,
+    pub measurement: Option<Measurement>,
 }
 
 /// What is counted and timed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Measure {
+pub enum Measurement {
     /// An attempt came to something.
     Attempt {
         /// The outcome's stable name.
         outcome: &'static str,
         /// How long it took.
-        took: Duration,
+        duration: Duration,
     },
     /// A request ended.
     Request {
         /// The outcome's stable name.
         outcome: &'static str,
         /// How long it took.
-        took: Duration,
+        duration: Duration,
     },
     /// A permit came for a call to an endpoint with a limit.
     Permit,
@@ -40,30 +40,30 @@
     Retry(Retry),
 }
 
-impl Note {
+impl LogLine {
     /// A line without pairs.
     #[must_use]
-    pub fn new(name: &'static str) -> Note {
-        Note { name, pairs: Vec::new(), measure: None }
+    pub fn new(name: &'static str) -> LogLine {
+        LogLine { name, pairs: Vec::new(), measurement: None }
     }
 
     /// With one more pair.
     #[must_use]
-    pub fn with(mut self, key: &'static str, value: impl fmt::Display) -> Note {
+    pub fn with(mut self, key: &'static str, value: impl fmt::Display) -> LogLine {
         self.pairs.push((key, value.to_string()));
         self
     }
 
     /// With a time in whole milliseconds.
     #[must_use]
-    pub fn with_ms(self, key: &'static str, time: Duration) -> Note {
+    pub fn with_ms(self, key: &'static str, time: Duration) -> LogLine {
         self.with(key, time.as_millis())
     }
 
     /// With what counters and histograms take from it.
     #[must_use]
-    pub fn with_measure(mut self, measure: Measure) -> Note {
-        self.measure = Some(measure);
+    pub fn with_measurement(mut self, measure: Measurement) -> LogLine {
+        self.measurement = Some(measure);
         self
     }
 }
--- a/crates/basilbank_forward/src/prelude.rs
+++ b/crates/basilbank_forward/src/prelude.rs
@@ -7,7 +7,7 @@
     effect::{Attempt, Effect, Op},
     endpoint::{EndpointInfo, EndpointKey, Stage},
     event::{Damage, Event, NotRun, Outcome},
-    note::{Measure, Note},
+    log_line::{LogLine, Measurement},
     reading::{Around, Came, Query, ReadEffect, ReadEvent, ReadId, Readers, Scope, Why},
     reason::{Refusal, Retry},
     reduce::reduce,
--- a/crates/basilbank_forward/src/reading.rs
+++ b/crates/basilbank_forward/src/reading.rs
@@ -19,7 +19,7 @@
 
 use std::time::Duration;
 
-use crate::{note::Note, topic::Revision};
+use crate::{log_line::LogLine, topic::Revision};
 
 pub use readers::Readers;
 
@@ -185,5 +185,5 @@
     /// is not as far.
     Disproved(Revision),
     /// Log a line.
-    Note(Note),
+    Note(LogLine),
 }
--- a/crates/basilbank_forward/src/reading/reader.rs
+++ b/crates/basilbank_forward/src/reading/reader.rs
@@ -14,7 +14,7 @@
     },
 };
 use crate::{
-    note::Note,
+    log_line::LogLine,
     topic::{Revision, Topic},
 };
 
@@ -442,7 +442,7 @@
         effects.extend(others.map(|asked| ReadEffect::Drop { read: asked.id, silent: false }));
     }
 
-    fn note(&self, name: &'static str) -> Note {
-        Note::new(name).with("topic", self.topic.as_str())
+    fn note(&self, name: &'static str) -> LogLine {
+        LogLine::new(name).with("topic", self.topic.as_str())
     }
 }
--- a/crates/basilbank_forward/src/reason.rs
+++ b/crates/basilbank_forward/src/reason.rs
@@ -18,7 +18,7 @@
         /// No team has the caller's key.
         UnknownKey = "unknown_key",
         /// The configuration in force may not be the newest: the key may have been taken away.
-        KeysUnproved = "keys_unproved",
+        KeysUnconfirmed = "keys_unproved",
         /// The team has used its quota up.
         OverQuota = "over_quota",
         /// No endpoint of the service takes work.
@@ -26,13 +26,13 @@
         /// Every endpoint that was asked is full.
         Full = "full",
         /// The retry budget or the route's attempts are used up; nothing was run.
-        RetriesSpent = "retries_spent",
+        RetriesExhausted = "retries_spent",
         /// The time ran out before anything was run.
-        WaitedOut = "waited_out",
+        WaitTimedOut = "waited_out",
         /// It waits behind too many others.
         QueueFull = "queue_full",
         /// All endpoints take so many calls only, and others go first.
-        Limited = "limited",
+        RateLimited = "limited",
         /// It has crashed the endpoints that ran it.
         Quarantined = "quarantined",
         /// The time ran out while an endpoint was at work.
@@ -45,7 +45,7 @@
 impl Refusal {
     /// Nothing was run and nothing will be.
     #[must_use]
-    pub fn not_run(self) -> bool {
+    pub fn is_not_run(self) -> bool {
         !matches!(self, Refusal::TimedOut | Refusal::Broken)
     }
 
--- a/crates/basilbank_forward/src/reduce.rs
+++ b/crates/basilbank_forward/src/reduce.rs
@@ -5,25 +5,25 @@
 //! may have left room at endpoints, the turn ends with the drafts that wait for it (`queue`). No module
 //! calls one that stands before it on this way.
 
-mod arrive;
-mod beat;
+mod admission;
+mod call_limit;
+mod completion;
 mod crash;
-mod draft;
 mod endpoints;
-mod entries;
 mod finish;
 mod freshness;
-mod limit;
-mod next;
+mod gossip;
+mod gossip_send;
+mod next_step;
 mod outcome;
-mod pick;
+mod placement;
 mod plain;
 mod queue;
 mod quota;
+mod records;
 mod roles;
 mod step;
 mod suspect;
-mod tell;
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -35,110 +35,118 @@
     effect::Effect,
     endpoint::EndpointKey,
     event::Event,
-    note::Note,
+    log_line::LogLine,
     state::{Leaving, Share, State, requests::Hold},
 };
 
 /// Takes one event in and says what is to be done.
 pub fn reduce(state: &mut State, now: Now, event: Event, effects: &mut Vec<Effect>) {
-    let mut turn = Turn { state, now: now.mono, effects };
-    turn.state.started.get_or_insert(now.mono);
-    roles::watch_clocks(&mut turn, now);
+    let mut ctx = Context { state, now: now.mono, effects };
+    ctx.state.started.get_or_insert(now.mono);
+    roles::detect_suspension(&mut ctx, now);
     match event {
-        Event::Tick => turn.state.room = true,
-        Event::Arrived(call) => arrive::arrived(&mut turn, *call),
-        Event::Left(id) => finish::left(&mut turn, id),
-        Event::Came { request, attempt, outcome } => {
-            outcome::came(&mut turn, request, attempt, outcome);
+        Event::Tick => ctx.state.room = true,
+        Event::Arrived(call) => admission::handle_call(&mut ctx, *call),
+        Event::CallerLeft(id) => finish::handle_caller_left(&mut ctx, id),
+        Event::AttemptOutcome { request, attempt, outcome } => {
+            outcome::handle_outcome(&mut ctx, request, attempt, outcome);
         }
-        Event::Routes { read, table } => endpoints::routes(&mut turn, read, table),
-        Event::Confirmed { asked } => freshness::confirmed(&mut turn, asked),
-        Event::Endpoints { read, list } => endpoints::replace(&mut turn, read, list),
-        Event::Changed { read, listed, gone } => {
-            endpoints::change(&mut turn, read, listed, &gone);
+        Event::RoutesRead { revisions, table } => {
+            endpoints::apply_routes(&mut ctx, revisions, table);
         }
-        Event::StoreLost => endpoints::store_lost(&mut turn),
-        Event::Disproved { topic, revision } => beat::disproved(&mut turn, topic, revision),
-        Event::Probed { endpoint, life } => suspect::probed(&mut turn, endpoint, life),
-        Event::CallLimit { endpoint, rate } => limit::named(&mut turn, endpoint, rate),
-        Event::Ordered { endpoint, accepted } => roles::ordered(&mut turn, endpoint, accepted),
-        Event::Right(right) => roles::right(&mut turn, right),
+        Event::RoutesConfirmed { asked_at } => freshness::record_confirmation(&mut ctx, asked_at),
+        Event::EndpointsRead { revisions, list } => {
+            endpoints::apply_list(&mut ctx, revisions, list);
+        }
+        Event::EndpointsChanged { revisions, updated, removed } => {
+            endpoints::apply_changes(&mut ctx, revisions, updated, &removed);
+        }
+        Event::StoreLost => endpoints::handle_read_failure(&mut ctx),
+        Event::RevisionNotFound { topic, revision } => {
+            gossip::handle_missing_revision(&mut ctx, topic, revision);
+        }
+        Event::Probed { endpoint, liveness } => suspect::handle_probe(&mut ctx, endpoint, liveness),
+        Event::CallLimit { endpoint, rate } => call_limit::record_limit(&mut ctx, endpoint, rate),
+        Event::OrderAnswered { endpoint, acceptance } => {
+            roles::handle_order_answer(&mut ctx, endpoint, acceptance);
+        }
+        Event::OrderRight(right) => roles::set_order_right(&mut ctx, right),
         Event::Shutdown { grace } => {
-            turn.state.leaving = Some(Leaving { since: turn.now, until: turn.now + grace });
-            let running = turn.state.requests.len();
-            turn.note(Note::new("shutdown").with("requests", running));
-            beat::leave(&mut turn);
+            ctx.state.leaving = Some(Leaving { since: ctx.now, until: ctx.now + grace });
+            let running = ctx.state.requests.len();
+            ctx.log(LogLine::new("shutdown").with("requests", running));
+            gossip::announce_shutdown(&mut ctx);
         }
-        Event::Beat { from, beat } => beat::heard(&mut turn, from, &beat),
+        Event::Gossip { from, gossip } => gossip::handle(&mut ctx, from, &gossip),
     }
-    queue::settle(&mut turn);
-    endpoints::expire(&mut turn);
-    while let Some(id) = turn.state.due_timer(turn.now) {
-        step::timer(&mut turn, id);
-        queue::settle(&mut turn);
+    queue::resume_waiting(&mut ctx);
+    endpoints::remove_expired(&mut ctx);
+    while let Some(id) = ctx.state.due_timer(ctx.now) {
+        step::handle_timer(&mut ctx, id);
+        queue::resume_waiting(&mut ctx);
     }
-    suspect::tick(&mut turn);
-    crash::tick(&mut turn);
-    limit::tick(&mut turn);
-    freshness::tick(&mut turn);
-    quota::tick(&mut turn);
-    beat::tick(&mut turn);
-    roles::tick(&mut turn);
+    suspect::tick(&mut ctx);
+    crash::tick(&mut ctx);
+    call_limit::tick(&mut ctx);
+    freshness::tick(&mut ctx);
+    quota::tick(&mut ctx);
+    gossip::tick(&mut ctx);
+    roles::tick(&mut ctx);
 }
 
 /// Counts a call at an endpoint, and lets peers know if it takes memory there. Plain calls are over
 /// before a peer could act on them; heartbeats tell of them.
-fn begin(state: &mut State, endpoint: EndpointKey, share: Share) {
+fn add_usage(state: &mut State, endpoint: EndpointKey, share: Share) {
     state.directory.begin(endpoint, share);
     state.peers.changed |= share.tokens != 0;
 }
 
-/// Undoes [`begin`].
-fn end(state: &mut State, endpoint: EndpointKey, share: Share) {
+/// Undoes [`add_usage`].
+fn remove_usage(state: &mut State, endpoint: EndpointKey, share: Share) {
     state.directory.end(endpoint, share);
     state.peers.changed |= share.tokens != 0;
 }
 
 /// A hold is over: it counts no more at its endpoint, unless the call that takes it counts already.
-fn end_hold(state: &mut State, hold: &Hold) {
+fn remove_hold_usage(state: &mut State, hold: &Hold) {
     if let Some(share) = hold.share {
-        end(state, hold.endpoint, share);
+        remove_usage(state, hold.endpoint, share);
     }
 }
 
 /// One event's turn.
-struct Turn<'a> {
+struct Context<'a> {
     state: &'a mut State,
     now: Duration,
     effects: &'a mut Vec<Effect>,
 }
 
-impl Turn<'_> {
+impl Context<'_> {
     fn push(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
     /// Says something to some peers, beside what all are told of this daemon's load.
-    fn say(&mut self, to: Vec<SocketAddr>, words: LoadBeat) {
+    fn send(&mut self, to: Vec<SocketAddr>, message: LoadBeat) {
         let incarnation = self.state.peers.incarnation;
-        let beat = Box::new(LoadBeat { incarnation, ..words });
-        self.push(Effect::SendBeat { to, beat });
+        let gossip = Box::new(LoadBeat { incarnation, ..message });
+        self.push(Effect::SendGossip { to, gossip });
     }
 
-    fn note(&mut self, note: Note) {
-        self.effects.push(Effect::Note(note));
+    fn log(&mut self, line: LogLine) {
+        self.effects.push(Effect::Log(line));
     }
 
     /// A line about a request: its id at the caller comes first.
-    fn note_request(&mut self, id: RequestId, note: Note) {
+    fn log_request(&mut self, id: RequestId, line: LogLine) {
         let Some(request) = self.state.requests.get(&id) else { return };
-        let mut pairs = vec![("request", request.call.trace.clone())];
-        pairs.extend(note.pairs);
-        self.note(Note { pairs, ..note });
+        let mut pairs = vec![("request", request.call.trace_id.clone())];
+        pairs.extend(line.pairs);
+        self.log(LogLine { pairs, ..line });
     }
 
     /// Wakes the request at `at`.
-    fn wake(&mut self, id: RequestId, at: Duration) {
+    fn set_timer(&mut self, id: RequestId, at: Duration) {
         if let Some(request) = self.state.requests.get_mut(&id) {
             request.timers.push(at);
             self.state.set_timer(at, id);
--- a/crates/basilbank_forward/src/reduce/arrive.rs
+++ b/crates/basilbank_forward/src/reduce/admission.rs
@@ -2,11 +2,11 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::{Turn, step};
+use super::{Context, step};
 use crate::{
     call::Call,
     effect::Effect,
-    note::Note,
+    log_line::LogLine,
     reason::Refusal,
     route::Route,
     state::{Draft, Request, State, requests::QuotaStage},
@@ -14,78 +14,78 @@
 };
 
 /// Takes a call in, or refuses it.
-pub fn arrived(turn: &mut Turn<'_>, call: Call) {
+pub fn handle_call(ctx: &mut Context<'_>, call: Call) {
     let id = call.id;
-    let note = Note::new("arrived")
-        .with("request", &call.trace)
-        .with("version", turn.state.routes.version)
-        .with("wait_ms", call.patience.map_or(0, |p| p.as_millis()));
-    let note = match turn.state.needs_proof() {
-        false => note,
+    let line = LogLine::new("arrived")
+        .with("request", &call.trace_id)
+        .with("version", ctx.state.routes.version)
+        .with("wait_ms", call.caller_timeout.map_or(0, |p| p.as_millis()));
+    let line = match ctx.state.needs_proof() {
+        false => line,
         true => {
-            let age = turn.state.freshness.age(turn.now);
-            note.with("proof_ms", age.map_or(-1, |age| age.as_millis() as i64))
+            let age = ctx.state.freshness.age(ctx.now);
+            line.with("proof_ms", age.map_or(-1, |age| age.as_millis() as i64))
         }
     };
-    let note = match &call.prompt {
-        None => note,
+    let line = match &call.prompt {
+        None => line,
         Some(prompt) => {
-            let hint = prompt.hint.unwrap_or_default();
-            note.with("tokens", prompt.tokens).with("most", prompt.most).with("hint", hint)
+            let hint = prompt.output_hint.unwrap_or_default();
+            line.with("tokens", prompt.tokens).with("most", prompt.max_output).with("hint", hint)
         }
     };
     let digest = call.digest;
-    match admit(turn, call) {
+    match admit(ctx, call) {
         Ok(request) => {
-            let note = note.with("digest", request.call.digest);
-            let note = note.with("route", &request.route.name).with("service", &request.service);
-            let note = match &request.team {
-                Some(team) => note.with("team", &team.name),
-                None => note,
+            let line = line.with("digest", request.call.digest);
+            let line = line.with("route", &request.route.name).with("service", &request.service);
+            let line = match &request.team {
+                Some(team) => line.with("team", &team.name),
+                None => line,
             };
             let deadline = request.deadline;
-            turn.note(note);
-            turn.state.requests.insert(id, request);
-            turn.wake(id, deadline);
-            step::go_on(turn, id);
+            ctx.log(line);
+            ctx.state.requests.insert(id, request);
+            ctx.set_timer(id, deadline);
+            step::proceed(ctx, id);
         }
         Err(refusal) => {
-            turn.note(note.with("digest", digest).with("refusal", refusal.as_str()));
-            let comes_back = refusal.not_run() && !refusal.is_final();
-            let after = comes_back.then_some(turn.state.tuning.come_back);
-            turn.push(Effect::Refuse { request: id, refusal, after });
+            ctx.log(line.with("digest", digest).with("refusal", refusal.as_str()));
+            let can_retry = refusal.is_not_run() && !refusal.is_final();
+            let retry_after = can_retry.then_some(ctx.state.tuning.come_back);
+            ctx.push(Effect::Refuse { request: id, refusal, retry_after });
         }
     }
 }
 
-fn admit(turn: &mut Turn<'_>, mut call: Call) -> Result<Request, Refusal> {
-    let state = &mut *turn.state;
+fn admit(ctx: &mut Context<'_>, mut call: Call) -> Result<Request, Refusal> {
+    let state = &mut *ctx.state;
     // Without a configuration nobody knows whether the route exists: 404 would be a guess.
     if !state.knows() {
         return Err(Refusal::NotReady);
     }
     // A 404 is final: callers don't try again, elsewhere or later.
-    let unknown = if state.outdated() { Refusal::Outdated } else { Refusal::UnknownRoute };
-    let route = state.routes.find(&call.host, &call.path).ok_or(unknown)?.clone();
-    let team = team(state, &route, call.credential, turn.now)?;
+    let no_route = if state.outdated() { Refusal::Outdated } else { Refusal::UnknownRoute };
+    let route = state.routes.find(&call.host, &call.path).ok_or(no_route)?.clone();
+    let team = authenticate(state, &route, call.credential, ctx.now)?;
     if let Some(team) = &team {
-        call.digest = call.digest.by(team.id);
+        call.digest = call.digest.for_team(team.id);
     }
-    let patience = call.patience.map(|p| p.saturating_sub(state.tuning.answer_margin));
-    let wait = patience.unwrap_or(Duration::MAX).min(route.timeout);
-    let deadline = turn.now + wait;
-    if state.leaving.is_some_and(|leaving| leaving.refuses(turn.now, deadline)) {
+    let max_wait = call.caller_timeout.map(|p| p.saturating_sub(state.tuning.answer_margin));
+    let wait = max_wait.unwrap_or(Duration::MAX).min(route.timeout);
+    let deadline = ctx.now + wait;
+    if state.leaving.is_some_and(|leaving| leaving.refuses(ctx.now, deadline)) {
         return Err(Refusal::Leaving);
     }
     let unit = state.rng.unit();
     let service = route.service(unit).ok_or(Refusal::NoEndpoint)?.to_owned();
     let budget = state.budgets.entry(service.clone()).or_default();
-    budget.called(turn.now, &state.tuning);
+    budget.called(ctx.now, &state.tuning);
     Ok(Request {
         version: state.routes.version,
         team,
         quota: QuotaStage::New,
-        arrived: turn.now,
+        arrived: ctx.now,
         deadline,
         live: Vec::new(),
         attempts: 0,
@@ -110,7 +110,7 @@
 ///
 /// A key that was taken away must not open anything, so none is served while a newer configuration may be
 /// in force; and one that is unknown here may be known there, so it isn't turned away for good.
-fn team(
+fn authenticate(
     state: &State,
     route: &Route,
     credential: Credential,
@@ -120,7 +120,7 @@
         return Ok(None);
     };
     if !state.trusts_keys(now) {
-        return Err(Refusal::KeysUnproved);
+        return Err(Refusal::KeysUnconfirmed);
     }
     let team = match credential {
         Credential::None | Credential::Unusable => Err(Refusal::NoKey),
--- /dev/null
+++ b/crates/basilbank_forward/src/reduce/call_limit.rs
@@ -0,0 +1,239 @@
+//! Endpoints that take so many calls a second only: who may send one there.
+//!
+//! All calls to such an endpoint need a permit. One daemon, the same for all who hear each other, gives them
+//! out in the order in which daemons asked; it is asked by a datagram and answers by one, some milliseconds
+//! later. A lost one costs a permit, never one too many.
+
+use std::{net::SocketAddr, time::Duration};
+
+use basilbank_wire::{CallLimitSeen, LoadBeat, Permit, PermitWord};
+
+use super::{Context, step};
+use crate::{
+    call::RequestId,
+    endpoint::{EndpointKey, Stage},
+    log_line::{LogLine, Measurement},
+    state::{State, grants::Asker},
+};
+
+/// How long a permit may take that no call waits for yet.
+const PREFETCH_MAX_WAIT: Duration = Duration::from_millis(300);
+
+/// Longest time for which a daemon stands in line: callers of drafts leave after it.
+const MAX_PERMIT_WAIT: Duration = Duration::from_secs(5);
+
+/// Calls that a permit for a decode endpoint stands for: one holds the slot, one takes it.
+const CALLS_PER_DECODE_PERMIT: f64 = 2.0;
+
+/// An answer has said what its endpoint takes.
+pub fn record_limit(ctx: &mut Context<'_>, key: EndpointKey, rate: Option<f64>) {
+    let known = ctx.state.directory.get(key).is_some_and(|endpoint| !endpoint.gone);
+    if known && ctx.state.call_limits.see(key, rate, ctx.now) {
+        handle_change(ctx, key, rate, "answer");
+        ctx.state.peers.tell_soon();
+    }
+}
+
+/// What a peer has seen.
+pub fn handle_reported_limits(ctx: &mut Context<'_>, gossip: &LoadBeat) {
+    for reported in &gossip.limits {
+        let Some(key) = ctx.state.directory.by_hash(reported.endpoint) else { continue };
+        let seen = ctx.now.saturating_sub(Duration::from_millis(u64::from(reported.ago)));
+        let rate = reported.rate.filter(|rate| rate.is_finite() && 0.0 <= *rate);
+        if ctx.state.call_limits.hear(key, rate, seen) {
+            handle_change(ctx, key, rate, "peer");
+        }
+    }
+}
+
+/// What this daemon has seen, for peers.
+pub fn observed_limits(state: &State, now: Duration) -> Vec<CallLimitSeen> {
+    let reported = state.call_limits.told(now).filter_map(|(key, limit)| {
+        let ago = now.saturating_sub(limit.seen).as_millis();
+        let ago = u32::try_from(ago).unwrap_or(u32::MAX);
+        Some(CallLimitSeen { endpoint: state.directory.hash(key)?, rate: limit.rate, ago })
+    });
+    reported.collect()
+}
+
+/// A peer's words about permits. Only peers are heard: the line is as long as there are peers, and no longer.
+pub fn handle_permits(ctx: &mut Context<'_>, from: SocketAddr, permits: &[Permit]) {
+    for permit in permits {
+        let Some(key) = ctx.state.directory.by_hash(permit.endpoint) else { continue };
+        let wait = Duration::from_millis(u64::from(permit.wait));
+        match permit.word() {
+            PermitWord::Ask => {
+                handle_request(ctx, key, Asker::Peer(from), wait.min(MAX_PERMIT_WAIT));
+            }
+            PermitWord::Wait => handle_wait(ctx, key, wait),
+            PermitWord::Grant => handle_grant(ctx, key),
+            PermitWord::Unspecified => {}
+        }
+    }
+}
+
+/// Lines a call up for a permit to send it to any endpoint of its service; false when none of them will have
+/// one in the time that the call bears to wait.
+pub fn request_permit(ctx: &mut Context<'_>, id: RequestId, max_wait: Duration) -> bool {
+    let Some(request) = ctx.state.requests.get(&id) else { return false };
+    let lacking = ctx.state.endpoints_without_permit(&request.service, ctx.now);
+    let waiting = &ctx.state.permits.waiting;
+    let position = waiting.iter().position(|other| *other == id).unwrap_or(waiting.len());
+    loop {
+        let pending = ctx.state.permits.coming(&lacking, ctx.now);
+        if position < pending {
+            return true;
+        }
+        match ctx.state.pick_endpoint_to_ask(&lacking, ctx.now) {
+            Some(endpoint) => ask_issuer(ctx, endpoint, max_wait),
+            None => return pending != 0,
+        }
+    }
+}
+
+/// Asks for a permit for the next call to a call's service, if an endpoint may have one. Endpoints without a
+/// limit have no need of it; but only calls show when one with a limit has none any more.
+///
+/// Where all have limits each plain call asks for its own: what was asked for ahead would lapse at daemons that
+/// get few calls.
+pub fn prefetch_permit(ctx: &mut Context<'_>, id: RequestId) {
+    let Some(request) = ctx.state.requests.get(&id) else { return };
+    let limits = &ctx.state.call_limits;
+    let mut endpoints = ctx.state.directory.service(&request.service);
+    let open = endpoints.any(|(key, _)| limits.get(key).is_none());
+    drop(endpoints);
+    if !open && !request.is_completion(ctx.state) {
+        return;
+    }
+    let lacking = ctx.state.endpoints_without_permit(&request.service, ctx.now);
+    if let Some(endpoint) = ctx.state.pick_endpoint_to_ask(&lacking, ctx.now) {
+        ask_issuer(ctx, endpoint, PREFETCH_MAX_WAIT);
+    }
+}
+
+fn ask_issuer(ctx: &mut Context<'_>, key: EndpointKey, max_wait: Duration) {
+    ctx.state.permits.ask(key, max_wait, ctx.now);
+    match ctx.state.permit_issuer(key) {
+        None => handle_request(ctx, key, Asker::Own, max_wait),
+        Some(issuer) => send(ctx, issuer, key, PermitWord::Ask, max_wait),
+    }
+}
+
+/// Gives out what can be given, and lets go on what has its permit.
+pub fn tick(ctx: &mut Context<'_>) {
+    let issued_here: Vec<_> = ctx.state.grants.open().collect();
+    for key in issued_here {
+        let has_limit = ctx.state.call_limits.get(key).is_some();
+        if !has_limit || ctx.state.permit_issuer(key).is_some() {
+            ctx.state.grants.close(key);
+        }
+    }
+    while let Some((key, asker)) = ctx.state.grants.give(ctx.now) {
+        match asker {
+            Asker::Own => handle_grant(ctx, key),
+            Asker::Peer(peer) => send(ctx, peer, key, PermitWord::Grant, Duration::ZERO),
+        }
+    }
+}
+
+/// Somebody asks this daemon for a permit. One that takes another daemon for the one that gives them doesn't
+/// answer: both would give them out.
+fn handle_request(ctx: &mut Context<'_>, key: EndpointKey, asker: Asker, max_wait: Duration) {
+    let Some(limit) = ctx.state.call_limits.get(key) else { return };
+    if ctx.state.permit_issuer(key).is_some() {
+        return;
+    }
+    let stage = ctx.state.directory.get(key).and_then(|endpoint| endpoint.info.stage);
+    let limit = if stage == Some(Stage::Decode) { limit / CALLS_PER_DECODE_PERMIT } else { limit };
+    let wait = ctx.state.grants.ask(key, limit, (asker, max_wait), ctx.now);
+    match asker {
+        // Whoever asks looks at once what came of it.
+        Asker::Own => ctx.state.permits.takes(key, wait, ctx.state.peers.known.len(), ctx.now),
+        Asker::Peer(peer) => send(ctx, peer, key, PermitWord::Wait, wait),
+    }
+}
+
+/// A permit takes so long; calls that can't wait for it look for another one.
+fn handle_wait(ctx: &mut Context<'_>, key: EndpointKey, wait: Duration) {
+    ctx.state.permits.takes(key, wait, ctx.state.peers.known.len(), ctx.now);
+    resume_waiting(ctx);
+}
+
+fn handle_grant(ctx: &mut Context<'_>, key: EndpointKey) {
+    if ctx.state.call_limits.get(key).is_none() {
+        return;
+    }
+    ctx.state.permits.granted(key, ctx.now);
+    if let Some(endpoint) = ctx.state.directory.get(key) {
+        let line = LogLine::new("permit").with("instance", &endpoint.info.instance);
+        ctx.log(line.with_measurement(Measurement::Permit));
+    }
+    ctx.state.room = true;
+    resume_waiting(ctx);
+}
+
+fn handle_change(ctx: &mut Context<'_>, key: EndpointKey, rate: Option<f64>, by: &str) {
+    if let Some(endpoint) = ctx.state.directory.get(key) {
+        let line = LogLine::new("call_limit").with("instance", &endpoint.info.instance);
+        let rate = rate.map_or("none".to_owned(), |rate| rate.to_string());
+        ctx.log(line.with("rate", rate).with("by", by));
+    }
+    if rate.is_none() {
+        ctx.state.permits.forget(key);
+        ctx.state.room = true;
+        resume_waiting(ctx);
+    }
+}
+
+/// Calls that waited for a permit go on; those that get none wait again, in their order.
+fn resume_waiting(ctx: &mut Context<'_>) {
+    for id in std::mem::take(&mut ctx.state.permits.waiting) {
+        step::proceed(ctx, id);
+    }
+}
+
+fn send(ctx: &mut Context<'_>, to: SocketAddr, key: EndpointKey, word: PermitWord, wait: Duration) {
+    let Some(endpoint) = ctx.state.directory.hash(key) else { return };
+    let wait = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
+    let permit = Permit { endpoint, word: word.into(), wait };
+    ctx.send(vec![to], LoadBeat { permits: vec![permit], ..LoadBeat::default() });
+}
+
+impl State {
+    /// The peer that gives out permits for an endpoint; `None` when this daemon does.
+    fn permit_issuer(&self, key: EndpointKey) -> Option<SocketAddr> {
+        self.elected(u64::from(self.directory.hash(key)?), |_| true)
+    }
+
+    /// The endpoints of a service for which a permit is needed, and isn't there.
+    pub(super) fn endpoints_without_permit(
+        &self,
+        service: &str,
+        now: Duration,
+    ) -> Vec<EndpointKey> {
+        let keys = self.directory.service(service).map(|(key, _)| key);
+        keys.filter(|key| !self.has_permit(*key, now)).collect()
+    }
+
+    /// The one of these endpoints to ask for a permit: each as often as it has some.
+    fn pick_endpoint_to_ask(
+        &mut self,
+        lacking: &[EndpointKey],
+        now: Duration,
+    ) -> Option<EndpointKey> {
+        let open = lacking.iter().filter(|key| self.permits.is_open(**key, now));
+        let rate = |key: &EndpointKey| self.call_limits.get(*key).unwrap_or_default();
+        let open: Vec<_> = open.map(|key| (*key, rate(key))).collect();
+        let mut drawn = self.rng.unit() * open.iter().map(|(_, rate)| rate).sum::<f64>();
+        let is_drawn = |(_, rate): &&(EndpointKey, f64)| {
+            drawn -= rate;
+            drawn < 0.0
+        };
+        open.iter().find(is_drawn).or(open.first()).map(|(key, _)| *key)
+    }
+
+    /// The endpoint can be sent a call now, as far as its limit goes.
+    pub(super) fn has_permit(&self, key: EndpointKey, now: Duration) -> bool {
+        self.call_limits.get(key).is_none() || self.permits.has(key, now)
+    }
+}
--- a/crates/basilbank_forward/src/reduce/crash.rs
+++ b/crates/basilbank_forward/src/reduce/crash.rs
@@ -4,11 +4,11 @@
 
 use basilbank_wire::{CrashReport, LoadBeat};
 
-use super::{Turn, suspect};
+use super::{Context, suspect};
 use crate::{
     call::{Digest, RequestId},
     endpoint::EndpointKey,
-    note::{Measure, Note},
+    log_line::{LogLine, Measurement},
     state::{
         crashes::End,
         requests::{Live, Step},
@@ -16,98 +16,98 @@
 };
 
 /// An attempt broke off. Whether its endpoint crashed is asked there: a connection alone can be reset, too.
-pub fn broke(turn: &mut Turn<'_>, id: RequestId, live: &Live) {
+pub fn handle_broken_attempt(ctx: &mut Context<'_>, id: RequestId, live: &Live) {
     if live.step == Step::Hold {
         return;
     }
-    let Some(request) = turn.state.requests.get(&id) else { return };
-    let (digest, ran) = (request.call.digest, turn.now.saturating_sub(live.began));
+    let Some(request) = ctx.state.requests.get(&id) else { return };
+    let (digest, ran) = (request.call.digest, ctx.now.saturating_sub(live.began));
     // What an endpoint cuts as it leaves ends with it, and not the other way round.
-    let stays = turn.state.directory.get(live.endpoint).is_some_and(|e| e.takes_work());
-    if stays {
-        turn.state.crashes.broke(live.endpoint, digest, ran, turn.now);
-        suspect::ask(turn, live.endpoint);
+    let is_serving = ctx.state.directory.get(live.endpoint).is_some_and(|e| e.takes_work());
+    if is_serving {
+        ctx.state.crashes.broke(live.endpoint, digest, ran, ctx.now);
+        suspect::request_probe(ctx, live.endpoint);
     }
 }
 
 /// An endpoint has crashed, or has gone without a word.
-pub fn crashed(turn: &mut Turn<'_>, key: EndpointKey, end: End) {
-    let Some(hash) = turn.state.directory.hash(key) else { return };
-    let reports = turn.state.crashes.crashed(key, hash, end, turn.now);
+pub fn report_crash(ctx: &mut Context<'_>, key: EndpointKey, end: End) {
+    let Some(hash) = ctx.state.directory.hash(key) else { return };
+    let reports = ctx.state.crashes.crashed(key, hash, end, ctx.now);
     if reports.is_empty() {
         return;
     }
     for report in &reports {
-        let note = Note::new("crashed").with("digest", Digest(report.digest));
-        let note = note.with("endpoint", format!("{hash:08x}")).with("ran_ms", report.ran);
-        turn.note(note);
-        take_in(turn, report);
+        let line = LogLine::new("crashed").with("digest", Digest(report.digest));
+        let line = line.with("endpoint", format!("{hash:08x}")).with("ran_ms", report.ran);
+        ctx.log(line);
+        apply_report(ctx, report);
     }
-    turn.state.peers.tell_soon();
+    ctx.state.peers.tell_soon();
 }
 
 /// A call has run to its end.
-pub fn served(turn: &mut Turn<'_>, id: RequestId) {
-    let Some(digest) = turn.state.requests.get(&id).map(|request| request.call.digest) else {
+pub fn handle_served(ctx: &mut Context<'_>, id: RequestId) {
+    let Some(digest) = ctx.state.requests.get(&id).map(|request| request.call.digest) else {
         return;
     };
-    if turn.state.crashes.suspects(digest) {
-        turn.state.crashes.clear_for_all(digest);
-        turn.state.peers.tell_soon();
+    if ctx.state.crashes.suspects(digest) {
+        ctx.state.crashes.clear_for_all(digest);
+        ctx.state.peers.tell_soon();
     }
 }
 
 /// A peer's words.
-pub fn heard(turn: &mut Turn<'_>, beat: &LoadBeat) {
-    for told in &beat.quarantined {
-        if turn.state.quarantine.hear(told, turn.now) {
-            learned(turn, Digest(told.digest), "peer");
+pub fn handle_gossip(ctx: &mut Context<'_>, gossip: &LoadBeat) {
+    for reported in &gossip.quarantined {
+        if ctx.state.quarantine.hear(reported, ctx.now) {
+            record_cause(ctx, Digest(reported.digest), "peer");
         }
     }
-    for digest in &beat.cleared {
-        turn.state.crashes.clear(Digest(*digest));
+    for digest in &gossip.cleared {
+        ctx.state.crashes.clear(Digest(*digest));
     }
-    for report in &beat.crashes {
-        take_in(turn, report);
+    for report in &gossip.crashes {
+        apply_report(ctx, report);
     }
 }
 
 /// Looks for a cause, once crashes have been reported by all.
-pub fn tick(turn: &mut Turn<'_>) {
-    if turn.state.crashes.due().is_none_or(|due| turn.now < due) {
+pub fn tick(ctx: &mut Context<'_>) {
+    if ctx.state.crashes.due().is_none_or(|due| ctx.now < due) {
         return;
     }
-    while let Some((digest, count)) = turn.state.crashes.cause(turn.now) {
-        turn.state.quarantine.add(digest, turn.now);
-        learned(turn, digest, &format!("crashes_{count}"));
-        turn.state.peers.tell_soon();
+    while let Some((digest, count)) = ctx.state.crashes.cause(ctx.now) {
+        ctx.state.quarantine.add(digest, ctx.now);
+        record_cause(ctx, digest, &format!("crashes_{count}"));
+        ctx.state.peers.tell_soon();
     }
 }
 
 /// The call is in quarantine, and nowhere now. It stays there for longer since it came again.
-pub fn is_quarantined(turn: &mut Turn<'_>, id: RequestId) -> bool {
-    let request = turn.state.requests.get(&id).filter(|request| request.live.is_empty());
+pub fn check_quarantine(ctx: &mut Context<'_>, id: RequestId) -> bool {
+    let request = ctx.state.requests.get(&id).filter(|request| request.live.is_empty());
     let Some(digest) = request.map(|request| request.call.digest) else { return false };
-    let is_known = turn.state.quarantine.left(digest, turn.now).is_some();
+    let is_known = ctx.state.quarantine.left(digest, ctx.now).is_some();
     if is_known {
-        turn.state.quarantine.add(digest, turn.now);
+        ctx.state.quarantine.add(digest, ctx.now);
     }
     is_known
 }
 
 /// Until when it is open whether a call that is nowhere now is the cause of crashes.
-pub fn open_until(turn: &Turn<'_>, id: RequestId) -> Option<Duration> {
-    let request = turn.state.requests.get(&id).filter(|request| request.live.is_empty())?;
-    turn.state.crashes.open_until(request.call.digest, turn.now)
+pub fn undecided_until(ctx: &Context<'_>, id: RequestId) -> Option<Duration> {
+    let request = ctx.state.requests.get(&id).filter(|request| request.live.is_empty())?;
+    ctx.state.crashes.open_until(request.call.digest, ctx.now)
 }
 
-fn take_in(turn: &mut Turn<'_>, report: &CrashReport) {
-    let known = turn.state.quarantine.left(Digest(report.digest), turn.now).is_some();
-    turn.state.crashes.reported(report, known, turn.now);
+fn apply_report(ctx: &mut Context<'_>, report: &CrashReport) {
+    let known = ctx.state.quarantine.left(Digest(report.digest), ctx.now).is_some();
+    ctx.state.crashes.reported(report, known, ctx.now);
 }
 
-fn learned(turn: &mut Turn<'_>, digest: Digest, why: &str) {
-    turn.state.crashes.explain(digest);
-    let note = Note::new("quarantined").with("digest", digest).with("why", why);
-    turn.note(note.with_measure(Measure::Quarantined));
+fn record_cause(ctx: &mut Context<'_>, digest: Digest, reason: &str) {
+    ctx.state.crashes.explain(digest);
+    let line = LogLine::new("quarantined").with("digest", digest).with("why", reason);
+    ctx.log(line.with_measurement(Measurement::Quarantined));
 }
--- /dev/null
+++ b/crates/basilbank_forward/src/reduce/gossip.rs
@@ -0,0 +1,231 @@
+//! Daemons tell each other what they have at endpoints.
+//!
+//! Without it each daemon fills decode endpoints that others have filled already: prompts are then
+//! read for drafts that wait for memory, and calls are refused while other endpoints have room.
+
+use std::{net::SocketAddr, time::Duration};
+
+use basilbank_wire::{LoadBeat, ServicePace, Shunned, StoreRevision, WaitingDraft};
+
+use super::{Context, call_limit, crash, freshness, gossip_send, quota};
+use crate::{
+    log_line::LogLine,
+    state::{
+        Pace, Share,
+        peers::{Load, Peer, from_wire},
+    },
+    topic::{Revision, Topic},
+};
+
+/// A peer that was silent for this long is gone, and so is its work: five heartbeats, or three in a
+/// large fleet.
+const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(2500);
+
+/// How long an address is tried that a peer named.
+const HINT_LIFETIME: Duration = Duration::from_secs(2);
+
+/// Longest time for which a peer's word keeps an endpoint unused.
+const MAX_REPORTED_AVOIDANCE: Duration = Duration::from_secs(10);
+
+/// Why a peer is forgotten that has said so itself.
+const STATE_LEAVING: &str = "leaving";
+
+/// Takes a peer's datagram in.
+pub fn handle(ctx: &mut Context<'_>, from: SocketAddr, gossip: &LoadBeat) {
+    if gossip.sequence == 0 {
+        return handle_message(ctx, from, gossip);
+    }
+    let now = ctx.now;
+    let peers = &mut ctx.state.peers;
+    let previous = peers.known.get(&from);
+    // Datagrams overtake each other; what an older one says is over.
+    let stale = previous.is_some_and(|peer| {
+        (gossip.incarnation, gossip.sequence) <= (peer.incarnation, peer.sequence)
+    });
+    if stale || Some(from) == peers.own {
+        return;
+    }
+    let addresses: Vec<_> = gossip.peers.iter().filter_map(|peer| from_wire(*peer)).collect();
+    for address in addresses {
+        if !peers.known.contains_key(&address) && Some(address) != peers.own {
+            peers.hints.entry(address).or_insert(now + HINT_LIFETIME);
+        }
+    }
+    peers.hints.remove(&from);
+    let is_new = previous.is_none();
+    let is_new_start = previous.is_none_or(|peer| peer.incarnation != gossip.incarnation);
+    remove_loads(ctx, from);
+    // Its streams go on for as long as it may take to leave: to drop them at once would give away
+    // memory that they have.
+    if gossip.leaving && gossip.endpoints.is_empty() {
+        return remove_peer(ctx, from, STATE_LEAVING);
+    }
+    let loads = resolve_loads(ctx, gossip);
+    for load in &loads {
+        ctx.state.directory.others(load.endpoint, load.share);
+    }
+    avoid_reported(ctx, &gossip.shunned);
+    crash::handle_gossip(ctx, gossip);
+    call_limit::handle_reported_limits(ctx, gossip);
+    apply_reported_change(ctx, Topic::Endpoints, gossip.endpoints_news);
+    apply_reported_change(ctx, Topic::Routes, gossip.routes_news);
+    let previous = ctx.state.peers.known.remove(&from);
+    let was_watching = previous.as_ref().is_some_and(|peer| peer.watching);
+    let lost_store = was_watching && !gossip.watching && !gossip.leaving;
+    // Only heartbeats tell these.
+    let version = match (gossip.version, &previous) {
+        (0, Some(peer)) => peer.version,
+        (version, _) => version,
+    };
+    let paces = match previous {
+        Some(peer) if gossip.paces.is_empty() => peer.paces,
+        _ => gossip.paces.iter().map(stats_from_wire).collect(),
+    };
+    ctx.state.peers.doubts += u32::from(lost_store);
+    let peer = Peer {
+        incarnation: gossip.incarnation,
+        sequence: gossip.sequence,
+        heard: now,
+        loads,
+        waiting: gossip.waiting.iter().map(|draft| waiting_from_wire(draft, now)).collect(),
+        version,
+        watching: gossip.watching,
+        leaving: gossip.leaving,
+        paces,
+    };
+    let is_older = ctx.state.started_before(gossip.incarnation);
+    let peers = &mut ctx.state.peers;
+    peers.known.insert(from, peer);
+    peers.peak = peers.peak.max(peers.known.len());
+    peers.met(gossip.fleet, is_older);
+    if is_new {
+        ctx.log(LogLine::new("peer").with("addr", from).with("state", "up"));
+    }
+    if is_new_start && !gossip.leaving {
+        gossip_send::introduce(ctx, from, gossip.incarnation);
+    }
+    ctx.state.room = true;
+}
+
+/// What a peer asks or answers, beside what it tells all. Who isn't known for a peer isn't heard.
+fn handle_message(ctx: &mut Context<'_>, from: SocketAddr, gossip: &LoadBeat) {
+    if !ctx.state.peers.known.contains_key(&from) {
+        return;
+    }
+    call_limit::handle_permits(ctx, from, &gossip.permits);
+    freshness::handle_messages(ctx, from, &gossip.ages);
+    quota::handle_uses(ctx, from, gossip);
+    quota::handle_states(ctx, from, &gossip.quota_states);
+}
+
+/// A peer has seen a change. Without the exception a revision that doesn't exist would be heard again
+/// and again: this daemon would ask the store for it all the time, and deny no route any more.
+fn apply_reported_change(ctx: &mut Context<'_>, topic: Topic, reported: Option<StoreRevision>) {
+    let Some(StoreRevision { era, number }) = reported else { return };
+    let revision = Revision { era, number };
+    if revision != *ctx.state.disproved.get(topic) {
+        let news = ctx.state.news.get_mut(topic);
+        *news = revision.max(*news);
+    }
+}
+
+/// The store has no change with this revision. Nobody's configuration changes by such a word; it costs
+/// one question.
+pub fn handle_missing_revision(ctx: &mut Context<'_>, topic: Topic, revision: Revision) {
+    let read = ctx.state.revision(topic);
+    *ctx.state.disproved.get_mut(topic) = revision;
+    let news = ctx.state.news.get_mut(topic);
+    // What came since the question is not disproved.
+    if *news == revision {
+        *news = read;
+    }
+    let line = LogLine::new("news_disproved").with("topic", topic.as_str());
+    ctx.log(line.with("revision", revision).with("store", read));
+}
+
+/// Sends what is due, and forgets peers that are silent.
+pub fn tick(ctx: &mut Context<'_>) {
+    let now = ctx.now;
+    ctx.state.peers.now = now;
+    let timeout = MIN_PEER_TIMEOUT.max(ctx.state.peers.heartbeat_interval() * 3);
+    let silent: Vec<_> = ctx
+        .state
+        .peers
+        .known
+        .iter()
+        .filter(|(_, peer)| peer.heard + timeout <= now)
+        .map(|(address, _)| *address)
+        .collect();
+    for address in silent {
+        remove_loads(ctx, address);
+        remove_peer(ctx, address, "silent");
+    }
+    if ctx.state.peers.changed {
+        ctx.state.peers.since.get_or_insert(now);
+    }
+    if ctx.state.peers.probe_due().is_some_and(|at| at <= now) {
+        gossip_send::probe_unknown(ctx);
+    }
+    if ctx.state.gossip_due() <= now {
+        gossip_send::send_gossip(ctx);
+    }
+}
+
+/// Tells peers that this daemon leaves.
+pub fn announce_shutdown(ctx: &mut Context<'_>) {
+    gossip_send::send_gossip(ctx);
+}
+
+/// Endpoints that a peer knows to refuse work, or to be dark, are left alone. Only what a peer met
+/// itself is passed on, and only once, so that a word dies with its cause.
+fn avoid_reported(ctx: &mut Context<'_>, shunned: &[Shunned]) {
+    let now = ctx.now;
+    for entry in shunned {
+        let remaining = Duration::from_millis(u64::from(entry.left)).min(MAX_REPORTED_AVOIDANCE);
+        let key = ctx.state.directory.by_hash(entry.endpoint);
+        if let Some(endpoint) = key.and_then(|key| ctx.state.directory.get_mut(key)) {
+            endpoint.avoid(now + remaining);
+        }
+    }
+}
+
+fn waiting_from_wire(wire: &WaitingDraft, now: Duration) -> (u32, Duration) {
+    let offset = Duration::from_millis(u64::from(wire.due.unsigned_abs()));
+    let due = if wire.due < 0 { now.saturating_sub(offset) } else { now.saturating_add(offset) };
+    (wire.service, due)
+}
+
+fn stats_from_wire(wire: &ServicePace) -> (u32, Pace) {
+    let pace = Pace {
+        tokens: f64::from(wire.tokens),
+        seconds: f64::from(wire.seconds),
+        squares: f64::from(wire.squares),
+        errors: f64::from(wire.errors),
+    };
+    (wire.service, pace)
+}
+
+fn resolve_loads(ctx: &Context<'_>, gossip: &LoadBeat) -> Vec<Load> {
+    let directory = &ctx.state.directory;
+    let known = gossip.loads().filter_map(|load| {
+        let endpoint = directory.by_hash(load.endpoint)?;
+        let share =
+            Share { calls: load.calls, tokens: load.tokens, left: load.left, since: Some(ctx.now) };
+        Some(Load { endpoint, share })
+    });
+    known.collect()
+}
+
+fn remove_loads(ctx: &mut Context<'_>, from: SocketAddr) {
+    let Some(peer) = ctx.state.peers.known.get_mut(&from) else { return };
+    for load in std::mem::take(&mut peer.loads) {
+        ctx.state.directory.no_others(load.endpoint, load.share);
+    }
+}
+
+fn remove_peer(ctx: &mut Context<'_>, from: SocketAddr, state: &str) {
+    if ctx.state.peers.known.remove(&from).is_some() {
+        ctx.state.peers.fleet -= usize::from(state == STATE_LEAVING);
+        ctx.log(LogLine::new("peer").with("addr", from).with("state", state));
+    }
+}
--- a/crates/basilbank_forward/src/reduce/next.rs
+++ b/crates/basilbank_forward/src/reduce/next_step.rs
@@ -11,15 +11,15 @@
 
 /// What comes next for a call.
 #[derive(Debug)]
-pub enum Next {
+pub enum NextStep {
     /// A call to an endpoint.
-    Send(Send),
+    Dispatch(Dispatch),
     /// Nothing until an attempt comes to something.
     Wait,
     /// Nothing until then.
     WaitUntil(Duration),
     /// Nothing until there is room at a decode endpoint.
-    WaitForRoom,
+    WaitForCapacity,
     /// Nothing until then: there is room, and drafts of peers go first.
     WaitForTurn(Duration),
     /// Nothing until there is a permit for an endpoint with a limit.
@@ -30,7 +30,7 @@
 
 /// A call to an endpoint.
 #[derive(Debug)]
-pub struct Send {
+pub struct Dispatch {
     /// Where to.
     pub endpoint: EndpointKey,
     /// What to do.
@@ -40,9 +40,9 @@
     /// What to count there.
     pub share: Share,
     /// How long to wait.
-    pub limit: Duration,
+    pub timeout: Duration,
     /// It counts against the route's attempts.
     pub counted: bool,
     /// It is beyond the first of its call, for this reason, and draws on the retry budget.
-    pub extra: Option<Retry>,
+    pub retry: Option<Retry>,
 }
--- a/crates/basilbank_forward/src/reduce/plain.rs
+++ b/crates/basilbank_forward/src/reduce/plain.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{
-    next::{Next, Send},
-    pick::{self, Plain},
+    next_step::{Dispatch, NextStep},
+    placement::{self, PlainChoice},
 };
 use crate::{
     call::RequestId,
@@ -15,37 +15,45 @@
 };
 
 /// The next step: the first attempt, or another one after a failure that allows it.
-pub fn next(state: &mut State, id: RequestId, now: Duration) -> Next {
-    let Some(request) = state.requests.get(&id) else { return Next::Wait };
+pub fn next_step(state: &mut State, id: RequestId, now: Duration) -> NextStep {
+    let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
     let hedge_at = request.arrived + request.route.target.mul_f64(state.tuning.hedge_part);
-    let mut extra = request.repeats().then_some(Retry::NotRun);
+    let mut retry = request.repeats().then_some(Retry::NotRun);
     if !request.live.is_empty() {
         if request.route.kind != Kind::Idempotent || request.route.attempts <= request.counted {
-            return Next::Wait;
+            return NextStep::Wait;
         }
         if now < hedge_at {
-            return Next::WaitUntil(hedge_at);
+            return NextStep::WaitUntil(hedge_at);
         }
         // Without budget the first attempt goes on: to give it up would fail a call that runs.
-        if 1 < request.live.len() || !state.retry_pays(id, now) {
-            return Next::Wait;
+        if 1 < request.live.len() || !state.is_retry_useful(id, now) {
+            return NextStep::Wait;
         }
-        extra = Some(Retry::Hedge);
+        retry = Some(Retry::Hedge);
     }
-    let Some(request) = state.requests.get(&id) else { return Next::Wait };
+    let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
     if request.route.attempts <= request.counted {
-        return Next::GiveUp(request.failure.unwrap_or(Refusal::RetriesSpent));
+        return NextStep::GiveUp(request.failure.unwrap_or(Refusal::RetriesExhausted));
     }
     let (service, tried) = (request.service.clone(), request.tried.clone());
-    let (limit, streams) = (request.remaining(now), request.route.kind == Kind::Streaming);
+    let (timeout, streams) = (request.remaining(now), request.route.kind == Kind::Streaming);
     let waits = request.live.is_empty();
-    let endpoint = match pick::plain(state, &service, &tried, now) {
-        Plain::At(endpoint) => endpoint,
-        Plain::Limited if waits => return Next::WaitForPermit,
-        Plain::None if waits => return Next::GiveUp(Refusal::NoEndpoint),
-        Plain::Limited | Plain::None => return Next::Wait,
+    let endpoint = match placement::pick_plain(state, &service, &tried, now) {
+        PlainChoice::At(endpoint) => endpoint,
+        PlainChoice::Limited if waits => return NextStep::WaitForPermit,
+        PlainChoice::None if waits => return NextStep::GiveUp(Refusal::NoEndpoint),
+        PlainChoice::Limited | PlainChoice::None => return NextStep::Wait,
     };
     let share = Share::plain();
     let op = if streams { Op::Stream { hold: None } } else { Op::Plain };
-    Next::Send(Send { endpoint, op, step: Step::Whole, share, limit, counted: true, extra })
+    NextStep::Dispatch(Dispatch {
+        endpoint,
+        op,
+        step: Step::Whole,
+        share,
+        timeout,
+        counted: true,
+        retry,
+    })
 }
--- a/crates/basilbank_forward/src/reduce/quota.rs
+++ b/crates/basilbank_forward/src/reduce/quota.rs
@@ -8,10 +8,10 @@
 
 use basilbank_wire::{LoadBeat, QuotaAnswer, QuotaAsk, QuotaCounted, QuotaState, QuotaUse};
 
-use super::{Turn, finish, step};
+use super::{Context, finish, step};
 use crate::{
     call::RequestId,
-    note::Note,
+    log_line::LogLine,
     reason::Refusal,
     state::{
         State,
@@ -23,37 +23,37 @@
 };
 
 /// How long a call waits for the answer of the daemon that counts: some round trips between data centres.
-const WAIT: Duration = Duration::from_millis(80);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// The longest time that a caller whose team has used its quota up is told to wait.
-const COME_BACK_MOST: Duration = Duration::from_secs(4);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 
 /// What becomes of a call by its team's quota.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Verdict {
-    Passes,
-    Waits,
+    Allowed,
+    Pending,
     /// There is room after this time.
     Refused(Duration),
 }
 
 /// Whether a call may go on; if not, it waits for an answer, or was refused.
-pub fn passes(turn: &mut Turn<'_>, id: RequestId) -> bool {
-    let Some(request) = turn.state.requests.get(&id) else { return false };
+pub fn check_quota(ctx: &mut Context<'_>, id: RequestId) -> bool {
+    let Some(request) = ctx.state.requests.get(&id) else { return false };
     let verdict = match request.quota {
         QuotaStage::Taken { .. } | QuotaStage::Unlimited => return true,
-        QuotaStage::Asked { until, .. } if turn.now < until => return false,
+        QuotaStage::Asked { until, .. } if ctx.now < until => return false,
         QuotaStage::Asked { ticket, .. } => {
-            turn.state.quotas.asking.remove(&ticket);
-            take(turn, id, take_share)
+            ctx.state.quotas.asking.remove(&ticket);
+            take_charge(ctx, id, take_from_share)
         }
-        QuotaStage::New => take(turn, id, take_or_ask),
+        QuotaStage::New => take_charge(ctx, id, take_or_ask),
     };
     match verdict {
-        Verdict::Passes => true,
-        Verdict::Waits => false,
-        Verdict::Refused(after) => {
-            refuse(turn, id, after);
+        Verdict::Allowed => true,
+        Verdict::Pending => false,
+        Verdict::Refused(retry_after) => {
+            refuse(ctx, id, retry_after);
             false
         }
     }
@@ -61,245 +61,250 @@
 
 /// One call's part of a quota.
 #[derive(Clone, Copy)]
-struct Part {
+struct Charge {
     id: RequestId,
     team: TeamId,
     quota: Quota,
     amount: u32,
 }
 
-fn take(turn: &mut Turn<'_>, id: RequestId, way: fn(&mut Turn<'_>, Part) -> Verdict) -> Verdict {
-    let Some(part) = part(turn.state, id) else {
-        set_stage(turn, id, QuotaStage::Unlimited);
-        return Verdict::Passes;
+fn take_charge(
+    ctx: &mut Context<'_>,
+    id: RequestId,
+    way: fn(&mut Context<'_>, Charge) -> Verdict,
+) -> Verdict {
+    let Some(part) = charge_for(ctx.state, id) else {
+        set_stage(ctx, id, QuotaStage::Unlimited);
+        return Verdict::Allowed;
     };
-    let Part { team, amount, .. } = part;
-    let verdict = way(turn, part);
-    if verdict == Verdict::Passes {
-        set_stage(turn, id, QuotaStage::Taken { amount });
+    let Charge { team, amount, .. } = part;
+    let verdict = way(ctx, part);
+    if verdict == Verdict::Allowed {
+        set_stage(ctx, id, QuotaStage::Taken { amount });
     }
-    if verdict != Verdict::Waits {
-        let passes = verdict == Verdict::Passes;
-        turn.state.quotas.used(team, turn.now).judged(amount, passes, turn.now);
+    if verdict != Verdict::Pending {
+        let passes = verdict == Verdict::Allowed;
+        ctx.state.quotas.used(team, ctx.now).judged(amount, passes, ctx.now);
     }
     verdict
 }
 
 /// A call's part of its team's quota in force, not of the one when it came; none if the team has none.
-fn part(state: &State, id: RequestId) -> Option<Part> {
+fn charge_for(state: &State, id: RequestId) -> Option<Charge> {
     let request = state.requests.get(&id)?;
     let team = request.team.as_ref()?.id;
     let quota = state.quota(team)?;
-    Some(Part { id, team, quota, amount: request.amount(quota.unit) })
+    Some(Charge { id, team, quota, amount: request.amount(quota.unit) })
 }
 
-fn set_stage(turn: &mut Turn<'_>, id: RequestId, stage: QuotaStage) {
-    if let Some(request) = turn.state.requests.get_mut(&id) {
+fn set_stage(ctx: &mut Context<'_>, id: RequestId, stage: QuotaStage) {
+    if let Some(request) = ctx.state.requests.get_mut(&id) {
         request.quota = stage;
     }
 }
 
 /// Takes a call's part, or asks the daemon that counts.
-fn take_or_ask(turn: &mut Turn<'_>, part: Part) -> Verdict {
-    let Some(counter) = count_at(turn, part.team) else { return take_here(turn, part) };
-    let used = turn.state.quotas.used(part.team, turn.now);
-    if turn.now < used.full_until {
-        return Verdict::Refused(used.full_until - turn.now);
+fn take_or_ask(ctx: &mut Context<'_>, part: Charge) -> Verdict {
+    let Some(owner) = update_owner(ctx, part.team) else { return take_as_owner(ctx, part) };
+    let used = ctx.state.quotas.used(part.team, ctx.now);
+    if ctx.now < used.full_until {
+        return Verdict::Refused(used.full_until - ctx.now);
     }
-    if used.ask_until <= turn.now {
+    if used.ask_until <= ctx.now {
         if used.is_doubtful() {
-            return take_share(turn, part);
+            return take_from_share(ctx, part);
         }
-        used.take(i64::from(part.amount), turn.now);
-        return Verdict::Passes;
+        used.take(i64::from(part.amount), ctx.now);
+        return Verdict::Allowed;
     }
-    ask(turn, counter, part);
-    Verdict::Waits
+    ask_owner(ctx, owner, part);
+    Verdict::Pending
 }
 
 /// This daemon counts the quota itself.
-fn take_here(turn: &mut Turn<'_>, part: Part) -> Verdict {
-    let Some(terms) = turn.state.quota_terms(part.team, turn.now) else { return Verdict::Passes };
+fn take_as_owner(ctx: &mut Context<'_>, part: Charge) -> Verdict {
+    let Some(terms) = ctx.state.quota_terms(part.team, ctx.now) else { return Verdict::Allowed };
     let ask = QuotaAsk { ticket: 0, amount: part.amount };
-    let answer = turn.state.counters.ask(part.team, &terms, &ask, turn.now);
-    if turn.state.counters.is_low(part.team, &terms, turn.now) {
-        warn_all(turn, part.team);
+    let answer = ctx.state.counters.ask(part.team, &terms, &ask, ctx.now);
+    if ctx.state.counters.is_low(part.team, &terms, ctx.now) {
+        announce_low(ctx, part.team);
     }
     match answer {
-        Answer::Granted => Verdict::Passes,
-        Answer::Full(after) => Verdict::Refused(after),
+        Answer::Granted => Verdict::Allowed,
+        Answer::Full(retry_after) => Verdict::Refused(retry_after),
     }
 }
 
 /// Nobody answers: takes a call's part from this daemon's own share. It is told, as soon as somebody hears.
-fn take_share(turn: &mut Turn<'_>, part: Part) -> Verdict {
-    let share = turn.state.quota_share(turn.now);
-    let used = turn.state.quotas.used(part.team, turn.now);
-    if used.take_share(&part.quota, share, part.amount, turn.now) {
-        used.take(i64::from(part.amount), turn.now);
-        return Verdict::Passes;
+fn take_from_share(ctx: &mut Context<'_>, part: Charge) -> Verdict {
+    let share = ctx.state.quota_share(ctx.now);
+    let used = ctx.state.quotas.used(part.team, ctx.now);
+    if used.take_share(&part.quota, share, part.amount, ctx.now) {
+        used.take(i64::from(part.amount), ctx.now);
+        return Verdict::Allowed;
     }
     Verdict::Refused(used.share_opens(&part.quota, share))
 }
 
-fn ask(turn: &mut Turn<'_>, counter: SocketAddr, part: Part) {
-    let until = turn.now + WAIT;
-    let asking = Asking { request: part.id, amount: part.amount, at: turn.now };
-    let ticket = turn.state.quotas.ticket(asking);
+fn ask_owner(ctx: &mut Context<'_>, owner: SocketAddr, part: Charge) {
+    let until = ctx.now + ANSWER_TIMEOUT;
+    let asking = Asking { request: part.id, amount: part.amount, at: ctx.now };
+    let ticket = ctx.state.quotas.ticket(asking);
     let asks = QuotaAsk { ticket, amount: part.amount };
-    set_stage(turn, part.id, QuotaStage::Asked { ticket, until });
-    turn.wake(part.id, until);
-    tell(turn, counter, part.team, Some(asks));
+    set_stage(ctx, part.id, QuotaStage::Asked { ticket, until });
+    ctx.set_timer(part.id, until);
+    report_usage(ctx, owner, part.team, Some(asks));
 }
 
 /// Tells the daemon that counts a quota what was taken, with a question or without.
-fn tell(turn: &mut Turn<'_>, counter: SocketAddr, team: TeamId, ask: Option<QuotaAsk>) {
-    let used = turn.state.quotas.used(team, turn.now);
-    used.tell(turn.now);
+fn report_usage(ctx: &mut Context<'_>, owner: SocketAddr, team: TeamId, ask: Option<QuotaAsk>) {
+    let used = ctx.state.quotas.used(team, ctx.now);
+    used.tell(ctx.now);
     let (epoch, taken, acknowledged) = (used.epoch, used.taken, used.acknowledged);
     let word = QuotaUse { team: team.0, epoch, taken, acknowledged, ask };
-    turn.say(vec![counter], LoadBeat { quota_uses: vec![word], ..LoadBeat::default() });
+    ctx.send(vec![owner], LoadBeat { quota_uses: vec![word], ..LoadBeat::default() });
 }
 
 /// A call that nothing was run of gives its part back.
-pub fn give_back(turn: &mut Turn<'_>, team: TeamId, amount: u32) {
-    let back = -i64::from(amount);
-    if count_at(turn, team).is_some() {
-        turn.state.quotas.used(team, turn.now).take(back, turn.now);
-    } else if let Some(terms) = turn.state.quota_terms(team, turn.now) {
-        turn.state.counters.take(team, &terms, back, turn.now);
+pub fn refund(ctx: &mut Context<'_>, team: TeamId, amount: u32) {
+    let refund = -i64::from(amount);
+    if update_owner(ctx, team).is_some() {
+        ctx.state.quotas.used(team, ctx.now).take(refund, ctx.now);
+    } else if let Some(terms) = ctx.state.quota_terms(team, ctx.now) {
+        ctx.state.counters.take(team, &terms, refund, ctx.now);
     }
 }
 
 /// The peer that counts a team's quota now; `None` when this daemon does.
 ///
 /// If it is another one than before, it is told all that the one before has not acknowledged.
-fn count_at(turn: &mut Turn<'_>, team: TeamId) -> Option<SocketAddr> {
-    let used = turn.state.quotas.used(team, turn.now);
+fn update_owner(ctx: &mut Context<'_>, team: TeamId) -> Option<SocketAddr> {
+    let used = ctx.state.quotas.used(team, ctx.now);
     if let Some(silent) = used.counter.filter(|_| used.is_unheard()) {
-        turn.state.quotas.leave(silent, turn.now);
-        turn.note(Note::new("quota_counter_silent").with("addr", silent));
+        ctx.state.quotas.leave(silent, ctx.now);
+        ctx.log(LogLine::new("quota_counter_silent").with("addr", silent));
     }
-    let counter = turn.state.quota_counter(team, turn.now);
-    let used = turn.state.quotas.used(team, turn.now);
+    let owner = ctx.state.quota_owner(team, ctx.now);
+    let used = ctx.state.quotas.used(team, ctx.now);
     let unacknowledged = used.taken - used.acknowledged;
-    if used.counter != counter {
-        used.count_at(counter);
+    if used.counter != owner {
+        used.count_at(owner);
     }
-    if counter.is_none() && unacknowledged != 0 {
-        used.acknowledge(used.epoch, used.taken, turn.now);
-        if let Some(terms) = turn.state.quota_terms(team, turn.now) {
-            turn.state.counters.take(team, &terms, unacknowledged, turn.now);
+    if owner.is_none() && unacknowledged != 0 {
+        used.acknowledge(used.epoch, used.taken, ctx.now);
+        if let Some(terms) = ctx.state.quota_terms(team, ctx.now) {
+            ctx.state.counters.take(team, &terms, unacknowledged, ctx.now);
         }
     }
-    counter
+    owner
 }
 
 /// Peers tell what their callers took, or ask.
-pub fn heard_uses(turn: &mut Turn<'_>, from: SocketAddr, beat: &LoadBeat) {
+pub fn handle_uses(ctx: &mut Context<'_>, from: SocketAddr, beat: &LoadBeat) {
     for word in &beat.quota_uses {
         let team = TeamId(word.team);
         // One that takes another daemon for the one that counts doesn't: both would give the quota out.
-        if turn.state.quota_counter(team, turn.now).is_some() {
+        if ctx.state.quota_owner(team, ctx.now).is_some() {
             continue;
         }
-        let Some(terms) = turn.state.quota_terms(team, turn.now) else { continue };
-        let now = turn.now;
-        let counters = &mut turn.state.counters;
+        let Some(terms) = ctx.state.quota_terms(team, ctx.now) else { continue };
+        let now = ctx.now;
+        let counters = &mut ctx.state.counters;
         counters.tell(team, &terms, (from, beat.incarnation), word, now);
-        let answer = word.ask.map(|ask| answer_to(&ask, counters.ask(team, &terms, &ask, now)));
+        let answer =
+            word.ask.map(|ask| answer_to_wire(&ask, counters.ask(team, &terms, &ask, now)));
         let counted = Some(QuotaCounted { epoch: word.epoch, taken: word.taken });
         let low = counters.is_low(team, &terms, now);
-        let state = QuotaState { team: team.0, counted, ask_for: ask_for(low), answer };
-        turn.say(vec![from], LoadBeat { quota_states: vec![state], ..LoadBeat::default() });
+        let state = QuotaState { team: team.0, counted, ask_for: ask_period_ms(low), answer };
+        ctx.send(vec![from], LoadBeat { quota_states: vec![state], ..LoadBeat::default() });
         if low {
-            warn_all(turn, team);
+            announce_low(ctx, team);
         }
     }
 }
 
-fn answer_to(ask: &QuotaAsk, answer: Answer) -> QuotaAnswer {
+fn answer_to_wire(ask: &QuotaAsk, answer: Answer) -> QuotaAnswer {
     let (granted, wait) = match answer {
         Answer::Granted => (true, Duration::ZERO),
-        Answer::Full(after) => (false, after),
+        Answer::Full(retry_after) => (false, retry_after),
     };
     let wait = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     QuotaAnswer { ticket: ask.ticket, granted, wait }
 }
 
-fn ask_for(low: bool) -> u32 {
+fn ask_period_ms(low: bool) -> u32 {
     let time = if low { counters::ASK_FOR } else { Duration::ZERO };
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
 /// Tells all daemons that calls of a team have to ask, unless they were told lately.
-fn warn_all(turn: &mut Turn<'_>, team: TeamId) {
-    if !turn.state.counters.is_due_to_say(team, turn.now) {
+fn announce_low(ctx: &mut Context<'_>, team: TeamId) {
+    if !ctx.state.counters.is_due_to_say(team, ctx.now) {
         return;
     }
-    let state = QuotaState { team: team.0, ask_for: ask_for(true), ..QuotaState::default() };
-    let all = turn.state.peers.addresses();
-    turn.say(all, LoadBeat { quota_states: vec![state], ..LoadBeat::default() });
+    let state = QuotaState { team: team.0, ask_for: ask_period_ms(true), ..QuotaState::default() };
+    let all = ctx.state.peers.addresses();
+    ctx.send(all, LoadBeat { quota_states: vec![state], ..LoadBeat::default() });
 }
 
 /// The daemon that counts says how it is with quotas.
-pub fn heard_states(turn: &mut Turn<'_>, from: SocketAddr, states: &[QuotaState]) {
+pub fn handle_states(ctx: &mut Context<'_>, from: SocketAddr, states: &[QuotaState]) {
     for state in states {
         let team = TeamId(state.team);
-        if turn.state.quota_counter(team, turn.now) != Some(from) {
+        if ctx.state.quota_owner(team, ctx.now) != Some(from) {
             continue;
         }
-        count_at(turn, team);
-        let used = turn.state.quotas.used(team, turn.now);
+        update_owner(ctx, team);
+        let used = ctx.state.quotas.used(team, ctx.now);
         if let Some(counted) = &state.counted {
-            used.acknowledge(counted.epoch, counted.taken, turn.now);
+            used.acknowledge(counted.epoch, counted.taken, ctx.now);
         }
-        used.ask_until = turn.now + Duration::from_millis(u64::from(state.ask_for));
+        used.ask_until = ctx.now + Duration::from_millis(u64::from(state.ask_for));
         if let Some(answer) = &state.answer {
-            answered(turn, team, answer);
+            handle_answer(ctx, team, answer);
         }
     }
 }
 
-fn answered(turn: &mut Turn<'_>, team: TeamId, answer: &QuotaAnswer) {
-    let after = Duration::from_millis(u64::from(answer.wait));
+fn handle_answer(ctx: &mut Context<'_>, team: TeamId, answer: &QuotaAnswer) {
+    let retry_after = Duration::from_millis(u64::from(answer.wait));
     if !answer.granted {
-        turn.state.quotas.used(team, turn.now).full_until = turn.now + after;
+        ctx.state.quotas.used(team, ctx.now).full_until = ctx.now + retry_after;
     }
-    let Some(asking) = turn.state.quotas.asking.remove(&answer.ticket) else { return };
+    let Some(asking) = ctx.state.quotas.asking.remove(&answer.ticket) else { return };
     let Asking { request: id, amount, .. } = asking;
-    turn.state.quotas.used(team, turn.now).judged(amount, answer.granted, turn.now);
-    match (turn.state.requests.get_mut(&id), answer.granted) {
+    ctx.state.quotas.used(team, ctx.now).judged(amount, answer.granted, ctx.now);
+    match (ctx.state.requests.get_mut(&id), answer.granted) {
         (Some(request), true) => {
             request.quota = QuotaStage::Taken { amount };
-            step::go_on(turn, id);
+            step::proceed(ctx, id);
         }
-        (Some(_), false) => refuse(turn, id, after),
+        (Some(_), false) => refuse(ctx, id, retry_after),
         // Its caller has left meanwhile.
-        (None, true) => give_back(turn, team, amount),
+        (None, true) => refund(ctx, team, amount),
         (None, false) => {}
     }
 }
 
 /// The team has used its quota up. Callers come back when there is room for them, one after the other: the
 /// time is spread, since others were told the same.
-fn refuse(turn: &mut Turn<'_>, id: RequestId, after: Duration) {
-    if let Some(request) = turn.state.requests.get_mut(&id) {
-        request.come_back = Some(after.min(COME_BACK_MOST));
+fn refuse(ctx: &mut Context<'_>, id: RequestId, retry_after: Duration) {
+    if let Some(request) = ctx.state.requests.get_mut(&id) {
+        request.come_back = Some(retry_after.min(MAX_RETRY_AFTER));
     }
-    finish::give_up(turn, id, Refusal::OverQuota);
+    finish::give_up(ctx, id, Refusal::OverQuota);
 }
 
 /// Tells what is due, and forgets what is over.
-pub fn tick(turn: &mut Turn<'_>) {
-    for team in turn.state.quotas.to_tell(turn.now) {
-        match count_at(turn, team) {
-            Some(counter) => tell(turn, counter, team, None),
-            None => turn.state.quotas.used(team, turn.now).untold = None,
+pub fn tick(ctx: &mut Context<'_>) {
+    for team in ctx.state.quotas.to_tell(ctx.now) {
+        match update_owner(ctx, team) {
+            Some(owner) => report_usage(ctx, owner, team, None),
+            None => ctx.state.quotas.used(team, ctx.now).untold = None,
         }
     }
-    if turn.state.quotas.forget(turn.now) {
-        turn.state.counters.forget(turn.now);
+    if ctx.state.quotas.forget(ctx.now) {
+        ctx.state.counters.forget(ctx.now);
     }
 }
 
@@ -310,7 +315,7 @@
     }
 
     /// The peer that counts a team's quota; `None` when this daemon does.
-    fn quota_counter(&self, team: TeamId, now: Duration) -> Option<SocketAddr> {
+    fn quota_owner(&self, team: TeamId, now: Duration) -> Option<SocketAddr> {
         self.elected(team.0, |peer| !self.quotas.has_left(peer, now))
     }
 
@@ -320,11 +325,11 @@
     fn quota_terms(&self, team: TeamId, now: Duration) -> Option<Terms> {
         let quota = self.quota(team)?;
         let stands_in = self.quotas.leaves_any(now) && self.elected(team.0, |_| true).is_some();
-        let heard = match stands_in {
+        let daemons = match stands_in {
             true => self.counters.tellers(team, now) + 1,
-            false => self.peers.heard(now) + 1,
+            false => self.peers.count_in_contact(now) + 1,
         };
-        let part = heard as f64 * self.quota_share(now);
+        let part = daemons as f64 * self.quota_share(now);
         Some(Terms { quota, part: part.min(1.0) })
     }
 
--- a/crates/basilbank_forward/src/reduce/step.rs
+++ b/crates/basilbank_forward/src/reduce/step.rs
@@ -3,14 +3,14 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{
-    Turn, begin, crash, draft, end, finish, limit,
-    next::{Next, Send},
-    plain, quota,
+    Context, add_usage, call_limit, completion, crash, finish,
+    next_step::{Dispatch, NextStep},
+    plain, quota, remove_usage,
 };
 use crate::{
     call::RequestId,
     effect::{Attempt, Effect},
-    note::{Measure, Note},
+    log_line::{LogLine, Measurement},
     reason::Refusal,
     state::{
         Request, State,
@@ -19,202 +19,205 @@
 };
 
 /// A retry that has less time than this is not worth an endpoint's work: a connection and an answer.
-const MIN_TIME: Duration = Duration::from_millis(20);
+const MIN_RETRY_TIME: Duration = Duration::from_millis(20);
 
 /// A call waits for a permit for this part of its time at the most: it may still be served elsewhere, and
 /// on time, when its caller comes back.
-const PERMIT_PART: u32 = 3;
+const PERMIT_WAIT_DIVISOR: u32 = 3;
 
 /// Takes the next step, once there is no attempt that must be waited for.
-pub fn go_on(turn: &mut Turn<'_>, id: RequestId) {
-    if !quota::passes(turn, id) {
+pub fn proceed(ctx: &mut Context<'_>, id: RequestId) {
+    if !quota::check_quota(ctx, id) {
         return;
     }
-    finish::drop_hold_at_leaving(turn, id);
-    if crash::is_quarantined(turn, id) {
-        return finish::give_up(turn, id, Refusal::Quarantined);
+    finish::release_hold_if_leaving(ctx, id);
+    if crash::check_quarantine(ctx, id) {
+        return finish::give_up(ctx, id, Refusal::Quarantined);
     }
     // Others may be to blame, so it is not refused; but it must not crash one more meanwhile.
-    if let Some(until) = crash::open_until(turn, id) {
-        return wait_until(turn, id, until);
+    if let Some(until) = crash::undecided_until(ctx, id) {
+        return wait_until(ctx, id, until);
     }
-    if !turn.state.call_limits.is_empty() {
-        limit::look_ahead(turn, id);
+    if !ctx.state.call_limits.is_empty() {
+        call_limit::prefetch_permit(ctx, id);
     }
-    let Some(request) = turn.state.requests.get(&id) else { return };
-    let next = match request.is_draft(turn.state) {
-        true => draft::next(turn.state, id, turn.now),
-        false => plain::next(turn.state, id, turn.now),
+    let Some(request) = ctx.state.requests.get(&id) else { return };
+    let next = match request.is_completion(ctx.state) {
+        true => completion::next_step(ctx.state, id, ctx.now),
+        false => plain::next_step(ctx.state, id, ctx.now),
     };
     match next {
-        Next::Wait => {}
-        Next::WaitUntil(at) => wait_until(turn, id, at),
-        Next::WaitForRoom | Next::WaitForTurn(_) => {
-            turn.state.line.turn = match next {
-                Next::WaitForTurn(at) => Some(at),
+        NextStep::Wait => {}
+        NextStep::WaitUntil(at) => wait_until(ctx, id, at),
+        NextStep::WaitForCapacity | NextStep::WaitForTurn(_) => {
+            ctx.state.line.turn = match next {
+                NextStep::WaitForTurn(at) => Some(at),
                 _ => None,
             };
-            let waiting = turn.state.waiting.len();
-            if wait_for_room(turn, id) {
-                turn.note_request(id, Note::new("waits").with("ahead", waiting));
-                let lead = turn.state.tuning.lead;
-                let longest = turn.state.requests.get(&id).map(|r| r.patience());
-                if let Some(longest) = longest {
-                    turn.wake(id, longest.saturating_sub(lead));
+            let waiting = ctx.state.waiting.len();
+            if wait_for_capacity(ctx, id) {
+                ctx.log_request(id, LogLine::new("waits").with("ahead", waiting));
+                let lead = ctx.state.tuning.lead;
+                let deadline = ctx.state.requests.get(&id).map(|r| r.patience());
+                if let Some(deadline) = deadline {
+                    ctx.set_timer(id, deadline.saturating_sub(lead));
                 }
             }
         }
-        Next::WaitForPermit => wait_for_permit(turn, id),
-        Next::GiveUp(refusal) => finish::give_up(turn, id, refusal),
-        Next::Send(send) => {
-            let plain = send.step == Step::Whole;
-            start(turn, id, send);
+        NextStep::WaitForPermit => wait_for_permit(ctx, id),
+        NextStep::GiveUp(refusal) => finish::give_up(ctx, id, refusal),
+        NextStep::Dispatch(dispatch) => {
+            let is_plain = dispatch.step == Step::Whole;
+            start_attempt(ctx, id, dispatch);
             // An idempotent call may be sent to a second endpoint when this one is slow.
-            if plain {
-                go_on(turn, id);
+            if is_plain {
+                proceed(ctx, id);
             }
         }
     }
 }
 
-fn wait_until(turn: &mut Turn<'_>, id: RequestId, at: Duration) {
-    if let Some(request) = turn.state.requests.get_mut(&id) {
+fn wait_until(ctx: &mut Context<'_>, id: RequestId, at: Duration) {
+    if let Some(request) = ctx.state.requests.get_mut(&id) {
         request.resume_at = Some(at);
     }
-    turn.wake(id, at);
+    ctx.set_timer(id, at);
 }
 
 /// Takes a draft in that found no room; true when it has not waited before.
-fn wait_for_room(turn: &mut Turn<'_>, id: RequestId) -> bool {
-    if !turn.state.waiting.contains(&id) {
-        turn.state.waiting.push(id);
-    }
-    let draft = turn.state.requests.get_mut(&id).map(|request| &mut request.draft);
-    let first = draft.is_some_and(|draft| !std::mem::replace(&mut draft.waited, true));
-    turn.state.peers.changed |= first;
-    first
+fn wait_for_capacity(ctx: &mut Context<'_>, id: RequestId) -> bool {
+    if !ctx.state.waiting.contains(&id) {
+        ctx.state.waiting.push(id);
+    }
+    let draft = ctx.state.requests.get_mut(&id).map(|request| &mut request.draft);
+    let is_first = draft.is_some_and(|draft| !std::mem::replace(&mut draft.waited, true));
+    ctx.state.peers.changed |= is_first;
+    is_first
 }
 
 /// A call waits for a permit for some time, or is refused if there will be none in this time.
-fn wait_for_permit(turn: &mut Turn<'_>, id: RequestId) {
-    let now = turn.now;
-    let Some(request) = turn.state.requests.get_mut(&id) else { return };
-    let longest = request.remaining(now) / PERMIT_PART;
-    let first = request.permit_by.is_none();
-    let by = *request.permit_by.get_or_insert(now + longest);
-    if by <= now || !limit::line_up(turn, id, by - now) {
-        return finish::give_up(turn, id, Refusal::Limited);
-    }
-    if !turn.state.permits.waiting.contains(&id) {
-        turn.state.permits.waiting.push(id);
-    }
-    if first {
-        turn.note_request(id, Note::new("waits_for_permit").with_ms("most_ms", by - now));
-        turn.wake(id, by);
+fn wait_for_permit(ctx: &mut Context<'_>, id: RequestId) {
+    let now = ctx.now;
+    let Some(request) = ctx.state.requests.get_mut(&id) else { return };
+    let deadline = request.remaining(now) / PERMIT_WAIT_DIVISOR;
+    let is_first = request.permit_by.is_none();
+    let by = *request.permit_by.get_or_insert(now + deadline);
+    if by <= now || !call_limit::request_permit(ctx, id, by - now) {
+        return finish::give_up(ctx, id, Refusal::RateLimited);
+    }
+    if !ctx.state.permits.waiting.contains(&id) {
+        ctx.state.permits.waiting.push(id);
+    }
+    if is_first {
+        ctx.log_request(id, LogLine::new("waits_for_permit").with_ms("most_ms", by - now));
+        ctx.set_timer(id, by);
     }
 }
 
 /// A timer of the call is due: its deadline, or a pause that is over.
-pub fn timer(turn: &mut Turn<'_>, id: RequestId) {
-    let Some(request) = turn.state.requests.get_mut(&id) else { return };
-    if request.deadline <= turn.now {
-        let refusal = if request.may_have_run() { Refusal::TimedOut } else { Refusal::WaitedOut };
-        return finish::give_up(turn, id, refusal);
+pub fn handle_timer(ctx: &mut Context<'_>, id: RequestId) {
+    let Some(request) = ctx.state.requests.get_mut(&id) else { return };
+    if request.deadline <= ctx.now {
+        let refusal =
+            if request.may_have_run() { Refusal::TimedOut } else { Refusal::WaitTimedOut };
+        return finish::give_up(ctx, id, refusal);
     }
-    let lead = turn.state.tuning.lead;
-    if turn.state.waiting.contains(&id) && request.patience() <= turn.now + lead {
-        return finish::give_up(turn, id, Refusal::WaitedOut);
+    let lead = ctx.state.tuning.lead;
+    if ctx.state.waiting.contains(&id) && request.patience() <= ctx.now + lead {
+        return finish::give_up(ctx, id, Refusal::WaitTimedOut);
     }
     let asks = matches!(request.quota, QuotaStage::Asked { .. });
-    if asks || turn.state.permits.waiting.contains(&id) {
-        return go_on(turn, id);
+    if asks || ctx.state.permits.waiting.contains(&id) {
+        return proceed(ctx, id);
     }
-    if request.resume_at.is_some_and(|at| at <= turn.now) {
+    if request.resume_at.is_some_and(|at| at <= ctx.now) {
         request.resume_at = None;
         request.draft.asked = 0;
-        go_on(turn, id);
+        proceed(ctx, id);
     }
 }
 
-fn start(turn: &mut Turn<'_>, id: RequestId, send: Send) {
-    let daemons = turn.state.sharers(turn.now);
-    let State { requests, budgets, tuning, .. } = &mut *turn.state;
+fn start_attempt(ctx: &mut Context<'_>, id: RequestId, dispatch: Dispatch) {
+    let daemons = ctx.state.sharers(ctx.now);
+    let State { requests, budgets, tuning, .. } = &mut *ctx.state;
     let Some(request) = requests.get_mut(&id) else { return };
-    if let Some(retry) = send.extra {
+    if let Some(retry) = dispatch.retry {
         let budget = budgets.entry(request.service.clone()).or_default();
-        if !budget.take(turn.now, tuning, daemons) {
-            let refusal = request.failure.unwrap_or(Refusal::RetriesSpent);
-            return finish::give_up(turn, id, refusal);
+        if !budget.take(ctx.now, tuning, daemons) {
+            let refusal = request.failure.unwrap_or(Refusal::RetriesExhausted);
+            return finish::give_up(ctx, id, refusal);
         }
         request.unpaid = request.unpaid.saturating_sub(1);
-        let note = Note::new("retry").with("reason", retry.as_str());
-        let note = note.with_measure(Measure::Retry(retry));
-        turn.note_request(id, note);
-        return send_out(turn, id, send);
+        let line = LogLine::new("retry").with("reason", retry.as_str());
+        let line = line.with_measurement(Measurement::Retry(retry));
+        ctx.log_request(id, line);
+        return send_attempt(ctx, id, dispatch);
     }
-    send_out(turn, id, send);
+    send_attempt(ctx, id, dispatch);
 }
 
-fn send_out(turn: &mut Turn<'_>, id: RequestId, send: Send) {
-    let Some(target) = turn.state.directory.target(send.endpoint) else { return };
-    let endpoint = turn.state.directory.get(send.endpoint);
+fn send_attempt(ctx: &mut Context<'_>, id: RequestId, dispatch: Dispatch) {
+    let Some(target) = ctx.state.directory.target(dispatch.endpoint) else { return };
+    let endpoint = ctx.state.directory.get(dispatch.endpoint);
     let (calls, tokens) = endpoint.map_or((0, 0), |e| (e.all_calls(), e.all_tokens()));
-    let ahead = tokens.saturating_add(send.share.tokens);
-    let list_age = turn.now.saturating_sub(turn.state.directory.read_at);
-    let Some(request) = turn.state.requests.get_mut(&id) else { return };
+    let ahead = tokens.saturating_add(dispatch.share.tokens);
+    let list_age = ctx.now.saturating_sub(ctx.state.directory.read_at);
+    let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     let number = request.attempts;
     request.attempts += 1;
-    request.counted += u32::from(send.counted);
-    request.tried.push(send.endpoint);
+    request.counted += u32::from(dispatch.counted);
+    request.tried.push(dispatch.endpoint);
     let live = Live {
         number,
-        endpoint: send.endpoint,
-        share: send.share,
+        endpoint: dispatch.endpoint,
+        share: dispatch.share,
         ahead,
-        began: turn.now,
-        step: send.step,
+        began: ctx.now,
+        step: dispatch.step,
     };
     request.live.push(live);
-    let remaining = request.remaining(turn.now);
-    let more = request.counted < request.route.attempts;
-    let stall = (request.route.resumable && more).then_some(turn.state.tuning.stall);
-    let note = Note::new("send")
+    let remaining = request.remaining(ctx.now);
+    let has_attempts_left = request.counted < request.route.attempts;
+    let stall_timeout =
+        (request.route.resumable && has_attempts_left).then_some(ctx.state.tuning.stall);
+    let line = LogLine::new("send")
         .with("attempt", number)
-        .with("op", send.op.as_str())
+        .with("op", dispatch.op.as_str())
         .with("instance", &target.instance)
         .with_ms("left_ms", remaining)
         .with("calls_there", calls)
         .with("tokens_there", tokens)
         .with_ms("list_ms", list_age);
-    let limit = send.limit.min(remaining);
+    let answer_timeout = dispatch.timeout.min(remaining);
     let team = request.team.as_ref().map(|team| Arc::clone(&team.name));
-    let attempt = Attempt { number, target, op: send.op, team, remaining, limit, stall };
+    let attempt =
+        Attempt { number, target, op: dispatch.op, team, remaining, answer_timeout, stall_timeout };
     // The permit for the slot stands for the call that takes it, too.
-    if send.step != Step::Decode {
-        turn.state.permits.take(send.endpoint);
+    if dispatch.step != Step::Decode {
+        ctx.state.permits.take(dispatch.endpoint);
     }
-    begin(turn.state, send.endpoint, send.share);
-    if send.step == Step::Decode {
-        count_once(turn.state, id);
+    add_usage(ctx.state, dispatch.endpoint, dispatch.share);
+    if dispatch.step == Step::Decode {
+        replace_hold_usage(ctx.state, id);
     }
-    turn.state.peers.urgent |= send.step == Step::Hold;
-    turn.note_request(id, note);
-    turn.push(Effect::Start { request: id, attempt });
+    ctx.state.peers.urgent |= dispatch.step == Step::Hold;
+    ctx.log_request(id, line);
+    ctx.push(Effect::Start { request: id, attempt });
 }
 
 /// The call that takes a hold counts in its place: to count both would show the endpoint fuller than
 /// it is to all daemons.
-fn count_once(state: &mut State, id: RequestId) {
+fn replace_hold_usage(state: &mut State, id: RequestId) {
     let hold = state.requests.get_mut(&id).and_then(|request| request.draft.hold.as_mut());
     let counted = hold.and_then(|hold| Some((hold.endpoint, hold.share.take()?)));
     if let Some((endpoint, share)) = counted {
-        end(state, endpoint, share);
+        remove_usage(state, endpoint, share);
     }
 }
 
 impl Request {
     /// It is a draft for a service whose endpoints have stages.
-    pub(super) fn is_draft(&self, state: &State) -> bool {
+    pub(super) fn is_completion(&self, state: &State) -> bool {
         self.call.prompt.is_some() && state.routes.engine(&self.service).is_some()
     }
 }
@@ -222,15 +225,15 @@
 impl State {
     /// Another attempt may help: there is time and budget for it, and an endpoint that has not had
     /// the call.
-    pub(super) fn retry_pays(&mut self, id: RequestId, now: Duration) -> bool {
+    pub(super) fn is_retry_useful(&mut self, id: RequestId, now: Duration) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        if request.remaining(now) < MIN_TIME {
+        if request.remaining(now) < MIN_RETRY_TIME {
             return false;
         }
         let (service, tried) = (request.service.clone(), request.tried.clone());
-        let another = self.directory.service(&service).any(|(key, _)| !tried.contains(&key));
+        let has_untried = self.directory.service(&service).any(|(key, _)| !tried.contains(&key));
         let daemons = self.sharers(now);
         let budget = self.budgets.entry(service).or_default();
-        another && 1.0 <= budget.left(now, &self.tuning, daemons)
+        has_untried && 1.0 <= budget.left(now, &self.tuning, daemons)
     }
 }
--- a/crates/basilbank_forward/src/reduce/suspect.rs
+++ b/crates/basilbank_forward/src/reduce/suspect.rs
@@ -9,96 +9,98 @@
 
 use std::time::Duration;
 
-use super::{Turn, crash};
-use crate::{effect::Effect, endpoint::EndpointKey, event::Life, note::Note, state::crashes::End};
+use super::{Context, crash};
+use crate::{
+    effect::Effect, endpoint::EndpointKey, event::Liveness, log_line::LogLine, state::crashes::End,
+};
 
 /// Pause before an endpoint is asked, doubled each time that it does not answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+const MIN_PROBE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Longest such pause: an endpoint that comes back waits so long for work.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1000);
+const MAX_PROBE_PAUSE: Duration = Duration::from_millis(1000);
 
 /// How much longer than until the next question the endpoint is left alone: the question's own limit
 /// and a turn of the daemon.
-const MARGIN: Duration = Duration::from_millis(500);
+const AVOID_MARGIN: Duration = Duration::from_millis(500);
 
 /// A daemon that gets no answer from more than one in so many endpoints is itself cut off, more
 /// likely than all of these: it tells nobody.
-const BELIEVABLE: usize = 3;
+const CUT_OFF_DIVISOR: usize = 3;
 
 /// An endpoint could not be reached, or did not answer in time.
-pub fn dark(turn: &mut Turn<'_>, key: EndpointKey) {
-    if !turn.state.directory.keeps(key) {
+pub fn mark_unreachable(ctx: &mut Context<'_>, key: EndpointKey) {
+    if !ctx.state.directory.keeps(key) {
         return;
     }
-    let due = turn.now + FIRST_PAUSE;
-    if turn.state.suspects.add(key, due) {
-        note_dark(turn, key);
-        leave_alone(turn, key, due + MARGIN);
+    let due = ctx.now + MIN_PROBE_PAUSE;
+    if ctx.state.suspects.add(key, due) {
+        log_unreachable(ctx, key);
+        avoid(ctx, key, due + AVOID_MARGIN);
     }
 }
 
 /// Asks an endpoint at which something broke off, at once. It stays in use until it doesn't answer.
-pub fn ask(turn: &mut Turn<'_>, key: EndpointKey) {
-    if turn.state.directory.keeps(key) {
-        turn.state.suspects.doubt(key, turn.now);
+pub fn request_probe(ctx: &mut Context<'_>, key: EndpointKey) {
+    if ctx.state.directory.keeps(key) {
+        ctx.state.suspects.doubt(key, ctx.now);
     }
 }
 
 /// An endpoint did what it was sent.
-pub fn alive(turn: &mut Turn<'_>, key: EndpointKey) {
-    if !turn.state.suspects.clear(key) {
+pub fn mark_reachable(ctx: &mut Context<'_>, key: EndpointKey) {
+    if !ctx.state.suspects.clear(key) {
         return;
     }
-    let Some(endpoint) = turn.state.directory.get_mut(key) else { return };
+    let Some(endpoint) = ctx.state.directory.get_mut(key) else { return };
     endpoint.came_back();
-    let note = Note::new("endpoint_back").with("instance", &endpoint.info.instance);
-    turn.note(note);
-    turn.state.peers.changed = true;
+    let line = LogLine::new("endpoint_back").with("instance", &endpoint.info.instance);
+    ctx.log(line);
+    ctx.state.peers.changed = true;
 }
 
 /// An endpoint was asked.
-pub fn probed(turn: &mut Turn<'_>, key: EndpointKey, life: Life) {
-    if life == Life::Alive {
-        turn.state.crashes.answered(key);
-        return alive(turn, key);
+pub fn handle_probe(ctx: &mut Context<'_>, key: EndpointKey, liveness: Liveness) {
+    if liveness == Liveness::Alive {
+        ctx.state.crashes.answered(key);
+        return mark_reachable(ctx, key);
     }
-    crash::crashed(turn, key, End::Dark);
-    let now = turn.now;
-    let Some(suspect) = turn.state.suspects.get_mut(key) else { return };
-    let fresh = !std::mem::replace(&mut suspect.dark, true);
+    crash::report_crash(ctx, key, End::Dark);
+    let now = ctx.now;
+    let Some(suspect) = ctx.state.suspects.get_mut(key) else { return };
+    let is_new = !std::mem::replace(&mut suspect.dark, true);
     suspect.unanswered += 1;
-    let pause = FIRST_PAUSE.saturating_mul(1 << suspect.unanswered.min(8)).min(LONGEST_PAUSE);
+    let pause = MIN_PROBE_PAUSE.saturating_mul(1 << suspect.unanswered.min(8)).min(MAX_PROBE_PAUSE);
     suspect.due = Some(now + pause);
-    if fresh {
-        note_dark(turn, key);
+    if is_new {
+        log_unreachable(ctx, key);
     }
-    leave_alone(turn, key, now + pause + MARGIN);
+    avoid(ctx, key, now + pause + AVOID_MARGIN);
 }
 
 /// Asks those that are due.
-pub fn tick(turn: &mut Turn<'_>) {
-    while let Some(key) = turn.state.suspects.ask(turn.now) {
-        match turn.state.directory.target(key) {
-            Some(target) => turn.push(Effect::Probe(target)),
-            None => drop(turn.state.suspects.clear(key)),
+pub fn tick(ctx: &mut Context<'_>) {
+    while let Some(key) = ctx.state.suspects.ask(ctx.now) {
+        match ctx.state.directory.target(key) {
+            Some(target) => ctx.push(Effect::Probe(target)),
+            None => drop(ctx.state.suspects.clear(key)),
         }
     }
 }
 
-fn note_dark(turn: &mut Turn<'_>, key: EndpointKey) {
-    if let Some(endpoint) = turn.state.directory.get(key) {
-        let note = Note::new("endpoint_dark").with("instance", &endpoint.info.instance);
-        turn.note(note);
+fn log_unreachable(ctx: &mut Context<'_>, key: EndpointKey) {
+    if let Some(endpoint) = ctx.state.directory.get(key) {
+        let line = LogLine::new("endpoint_dark").with("instance", &endpoint.info.instance);
+        ctx.log(line);
     }
 }
 
-fn leave_alone(turn: &mut Turn<'_>, key: EndpointKey, until: Duration) {
-    let believable = turn.state.suspects.dark() * BELIEVABLE <= turn.state.directory.len();
-    let Some(endpoint) = turn.state.directory.get_mut(key) else { return };
-    match believable {
+fn avoid(ctx: &mut Context<'_>, key: EndpointKey, until: Duration) {
+    let is_credible = ctx.state.suspects.dark() * CUT_OFF_DIVISOR <= ctx.state.directory.len();
+    let Some(endpoint) = ctx.state.directory.get_mut(key) else { return };
+    match is_credible {
         true => endpoint.shun(until),
         false => endpoint.avoid(until),
     }
-    turn.state.peers.changed |= believable;
+    ctx.state.peers.changed |= is_credible;
 }
--- a/crates/basilbank_forward/src/state.rs
+++ b/crates/basilbank_forward/src/state.rs
@@ -357,7 +357,7 @@
             .chain(self.peers.probe_due())
             .chain(self.proof_due())
             .chain(self.quotas.due())
-            .chain([self.beat_due()])
+            .chain([self.gossip_due()])
             .min()
     }
 
--- a/crates/basilbank_forward/src/state/requests.rs
+++ b/crates/basilbank_forward/src/state/requests.rs
@@ -160,7 +160,9 @@
     pub fn amount(&self, unit: QuotaUnit) -> u32 {
         match (unit, &self.call.prompt) {
             (QuotaUnit::Requests, _) => 1,
-            (QuotaUnit::Tokens { .. }, Some(prompt)) => prompt.tokens.saturating_add(prompt.most),
+            (QuotaUnit::Tokens { .. }, Some(prompt)) => {
+                prompt.tokens.saturating_add(prompt.max_output)
+            }
             (QuotaUnit::Tokens { plain }, None) => plain,
         }
     }
--- a/crates/basilbank_forward/tests/forward/addresses.rs
+++ b/crates/basilbank_forward/tests/forward/addresses.rs
@@ -26,7 +26,7 @@
 fn in_use(rig: &mut Rig) -> bool {
     let id = rig.call("/stock/1", 1000, None);
     let starts = rig.starts();
-    rig.feed(Event::Left(id));
+    rig.feed(Event::CallerLeft(id));
     starts.iter().any(|attempt| attempt.target.instance == "a")
 }
 
@@ -49,7 +49,7 @@
     rig.list(vec![stranger(next)]);
     assert!(in_use(&mut rig));
     for list in [vec![good.clone(), stranger(next)], vec![stranger(next), good.clone()]] {
-        rig.feed(Event::Endpoints { read: Revisions::at(99), list });
+        rig.feed(Event::EndpointsRead { revisions: Revisions::at(99), list });
         assert!(in_use(&mut rig));
     }
     rig.change(vec![], &["x"]);
@@ -74,9 +74,9 @@
     if turned {
         list.reverse();
     }
-    rig.feed(Event::Endpoints { read: Revisions::at(11), list: list.clone() });
+    rig.feed(Event::EndpointsRead { revisions: Revisions::at(11), list: list.clone() });
     rig.pass_ms(100);
-    rig.feed(Event::Endpoints { read: Revisions::at(12), list });
+    rig.feed(Event::EndpointsRead { revisions: Revisions::at(12), list });
     rig.configure(table(1));
     assert!(in_use(&mut rig));
     assert!(!is_listed(&rig, "x"));
@@ -109,14 +109,14 @@
     let list = [born(5, plain("a", 1)), born(4, plain("b", 1))];
     for revision in 20..24 {
         let read = Revisions::at(revision);
-        rig.feed(Event::Endpoints { read, list: list.to_vec() });
+        rig.feed(Event::EndpointsRead { revisions: read, list: list.to_vec() });
         assert!(in_use(&mut rig) && !is_listed(&rig, "b"));
     }
-    assert!(!rig.effects.iter().any(|effect| matches!(effect, Effect::Forget(_))));
+    assert!(!rig.effects.iter().any(|effect| matches!(effect, Effect::CloseConnections(_))));
     let former = rig.state.directory.find("a").expect("listed");
     rig.list(vec![born(6, plain("c", 1))]);
     assert!(!in_use(&mut rig) && is_listed(&rig, "c"));
-    assert!(rig.effects.contains(&Effect::Forget(former)));
+    assert!(rig.effects.contains(&Effect::CloseConnections(former)));
 }
 
 /// Symptom: an endpoint's place stayed empty after an address had been used again.
@@ -146,8 +146,8 @@
     rig.came(id, hold.number, held());
     rig.change(vec![], &["d1"]);
     rig.list(vec![plain("a", 2)]);
-    rig.feed(Event::Left(id));
-    assert!(!rig.effects.iter().any(|effect| matches!(effect, Effect::Drop { .. })));
+    rig.feed(Event::CallerLeft(id));
+    assert!(!rig.effects.iter().any(|effect| matches!(effect, Effect::ReleaseHold { .. })));
     assert_eq!(rig.state.directory.len(), 2);
 }
 
@@ -193,7 +193,7 @@
     assert!(rig.state.directory.next_expiry().is_none());
     rig.pass_ms(3000);
     for id in calls {
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     assert_eq!(rig.state.directory.len(), 1);
 }
--- a/crates/basilbank_forward/tests/forward/call_limits.rs
+++ b/crates/basilbank_forward/tests/forward/call_limits.rs
@@ -90,7 +90,7 @@
             };
             rig.came(id, attempt.number, outcome);
         }
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
         rig.effects.clear();
         rig.pass_ms(50);
     }
@@ -110,7 +110,7 @@
     let ask = Permit { endpoint: hash, word: PermitWord::Ask.into(), wait: u32::MAX };
     for n in 1..1000_u16 {
         let from = SocketAddr::from(([10, 9, 0, 1], n));
-        rig.feed(Event::beat(from, LoadBeat { permits: vec![ask], ..LoadBeat::default() }));
+        rig.feed(Event::gossip(from, LoadBeat { permits: vec![ask], ..LoadBeat::default() }));
     }
     rig.pass_ms(3000);
     let permits: usize = rig.beats().iter().map(|(_, beat)| beat.permits.len()).sum();
--- a/crates/basilbank_forward/tests/forward/drafts.rs
+++ b/crates/basilbank_forward/tests/forward/drafts.rs
@@ -15,7 +15,7 @@
     ]);
     for _ in 0..40 {
         let id = rig.call("/draft/1", 14_000, Some(prompt(100)));
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     rig.effects.clear();
     rig
@@ -102,7 +102,7 @@
     rig.came(id, decode.number, Outcome::Streaming);
     rig.came(id, decode.number, Outcome::Broken(Damage::CutOff));
     assert!(rig.starts().is_empty());
-    assert!(rig.effects.iter().any(|e| matches!(e, Effect::Cut { .. })));
+    assert!(rig.effects.iter().any(|e| matches!(e, Effect::AbortStream { .. })));
 }
 
 /// Symptom: decode endpoints refused one draft five times in a row, and the retry budget was gone.
@@ -130,11 +130,11 @@
     assert_eq!(rig.starts().len(), 2);
     let third = draft(&mut rig, "/draft/1", 9000);
     assert!(rig.starts().is_empty(), "both decode endpoints are taken");
-    rig.feed(Event::Left(first));
+    rig.feed(Event::CallerLeft(first));
     let hold = rig.start();
     rig.came(third, hold.number, held());
     assert_eq!(rig.start().op, Op::Prefill);
-    rig.feed(Event::Left(second));
+    rig.feed(Event::CallerLeft(second));
 }
 
 #[test]
@@ -146,12 +146,12 @@
     rig.starts();
     rig.pass_ms(2000);
     let fresh = draft(&mut rig, "/draft/1", 9000);
-    rig.feed(Event::Left(first));
+    rig.feed(Event::CallerLeft(first));
     let hold = rig.start();
     rig.came(fresh, hold.number, held());
     assert_eq!(rig.start().op, Op::Prefill, "the slot was asked for the fresh one");
-    rig.feed(Event::Left(second));
-    rig.feed(Event::Left(late));
+    rig.feed(Event::CallerLeft(second));
+    rig.feed(Event::CallerLeft(late));
 }
 
 /// Symptom: drafts were late by seconds while prefill endpoints were down.
@@ -185,9 +185,9 @@
     let (id, _) = held_draft(&mut rig, "/draft/1");
     let prefill = rig.start();
     rig.came(id, prefill.number, prefilled());
-    rig.feed(Event::Left(id));
-    assert!(rig.effects.iter().any(|e| matches!(e, Effect::Free { .. })));
-    assert!(rig.effects.iter().any(|e| matches!(e, Effect::Drop { .. })));
+    rig.feed(Event::CallerLeft(id));
+    assert!(rig.effects.iter().any(|e| matches!(e, Effect::FreeKv { .. })));
+    assert!(rig.effects.iter().any(|e| matches!(e, Effect::ReleaseHold { .. })));
 }
 
 /// Symptom: four endpoints refused 1,700 calls in eight seconds, and the drafts went late to others.
@@ -207,7 +207,7 @@
             rig.came(id, hold.number, if refuses { BUSY } else { held() });
         }
         rig.starts();
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
         rig.pass_ms(40);
     }
     assert!(asked <= 10, "{asked} calls in four seconds");
@@ -279,7 +279,7 @@
     for _ in 0..100 {
         let (id, _) = held_draft(rig, "/draft/1");
         whole += usize::from(matches!(rig.start().op, Op::Stream { .. }));
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     whole
 }
@@ -305,7 +305,7 @@
     rig.list(vec![model("p1", 1, Stage::Prefill), model("d1", 3, Stage::Decode)]);
     assert_eq!(read_at_decode(&mut rig), 100);
     let beat = basilbank_wire::LoadBeat { incarnation: 50_000, sequence: 1, ..Default::default() };
-    rig.feed(Event::beat(from, beat));
+    rig.feed(Event::gossip(from, beat));
     assert_eq!(read_at_decode(&mut rig), 0);
 }
 
@@ -323,9 +323,9 @@
     rig.pass_ms(3000);
     assert!(rig.refusals().is_empty(), "there is time to read its prompt and begin");
     rig.pass_ms(400);
-    assert_eq!(rig.refusals(), [Refusal::WaitedOut]);
-    rig.feed(Event::Left(first));
-    rig.feed(Event::Left(second));
+    assert_eq!(rig.refusals(), [Refusal::WaitTimedOut]);
+    rig.feed(Event::CallerLeft(first));
+    rig.feed(Event::CallerLeft(second));
     assert!(rig.starts().is_empty(), "it is over");
 }
 
--- a/crates/basilbank_forward/tests/forward/endpoints.rs
+++ b/crates/basilbank_forward/tests/forward/endpoints.rs
@@ -11,7 +11,7 @@
         for attempt in rig.starts() {
             seen.push(attempt.target.instance);
         }
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     seen.sort();
     seen.dedup();
@@ -76,7 +76,7 @@
 fn a_whole_list_takes_off_what_it_lacks() {
     let mut rig = Rig::new();
     rig.list(vec![plain("a", 1), plain("b", 2)]);
-    rig.feed(Event::Endpoints { read: Revisions::at(99), list: vec![plain("b", 2)] });
+    rig.feed(Event::EndpointsRead { revisions: Revisions::at(99), list: vec![plain("b", 2)] });
     assert_eq!(targets(&mut rig), ["b"]);
 }
 
--- a/crates/basilbank_forward/tests/forward/fleet/deadly.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/deadly.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use basilbank_forward::{event::Life, prelude::*};
+use basilbank_forward::{event::Liveness, prelude::*};
 
 use super::{Fleet, Step, WAY, call_of, contact};
 use crate::rig::{model, prompt, table_with_memory};
@@ -186,7 +186,7 @@
         self.requests.insert(id, digest);
         let prompt = Prompt { session: Some(digest.0), ..prompt(1000) };
         let call = Call {
-            patience: Some(Duration::from_secs(14)),
+            caller_timeout: Some(Duration::from_secs(14)),
             prompt: Some(prompt),
             ..call_of(id, digest, "/draft/1")
         };
@@ -197,14 +197,14 @@
     fn asked(&mut self, daemon: usize, effect: Effect) {
         match effect {
             Effect::Start { request, attempt } => self.start(daemon, request, &attempt),
-            Effect::Refuse { request, refusal, .. } | Effect::Cut { request, refusal } => {
+            Effect::Refuse { request, refusal, .. } | Effect::AbortStream { request, refusal } => {
                 let other = self.requests.get(&request) != Some(&DEADLY);
                 self.got.blamed += usize::from(other && refusal.as_str() == "quarantined");
             }
             Effect::Probe(target) => {
                 let dark = self.down.contains(&target.instance);
-                let life = if dark { Life::Dark } else { Life::Alive };
-                let event = Event::Probed { endpoint: target.endpoint, life };
+                let life = if dark { Liveness::Unreachable } else { Liveness::Alive };
+                let event = Event::Probed { endpoint: target.endpoint, liveness: life };
                 self.fleet.feed_later(daemon, WAY * 2, event);
             }
             _ => {}
@@ -215,7 +215,11 @@
         let deadly = self.requests.get(&request) == Some(&DEADLY);
         let number = attempt.number;
         let tell = |fleet: &mut Fleet, after, outcome| {
-            fleet.feed_later(daemon, after, Event::Came { request, attempt: number, outcome });
+            fleet.feed_later(
+                daemon,
+                after,
+                Event::AttemptOutcome { request, attempt: number, outcome },
+            );
         };
         if self.down.contains(&attempt.target.instance) {
             return tell(&mut self.fleet, WAY * 2, Outcome::Unreachable);
@@ -268,7 +272,7 @@
 
     fn came(&mut self, run: &Run, outcome: Outcome) {
         let Run { request, attempt, .. } = *run;
-        self.fleet.feed_later(run.daemon, WAY, Event::Came { request, attempt, outcome });
+        self.fleet.feed_later(run.daemon, WAY, Event::AttemptOutcome { request, attempt, outcome });
     }
 
     /// An entry lapses, or the endpoint is back under another name.
--- a/crates/basilbank_forward/tests/forward/fleet/limited.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/limited.rs
@@ -156,10 +156,10 @@
         match effect {
             Effect::Start { request, attempt } => self.start(daemon, request, &attempt),
             Effect::Deliver { .. } => self.got.served += 1,
-            Effect::Refuse { request, refusal, after } => {
+            Effect::Refuse { request, refusal, retry_after } => {
                 *self.got.refused.entry(refusal.as_str()).or_default() += 1;
                 assert!(
-                    after.is_some_and(|after| !after.is_zero()),
+                    retry_after.is_some_and(|after| !after.is_zero()),
                     "refused without a time to come back"
                 );
                 let came = self.came.get(&request).copied().unwrap_or_default();
@@ -182,7 +182,7 @@
         let key = attempt.target.endpoint;
         self.fleet.feed_later(daemon, WORK, Event::CallLimit { endpoint: key, rate });
         let outcome = Outcome::Answered { status: 200 };
-        let event = Event::Came { request, attempt: attempt.number, outcome };
+        let event = Event::AttemptOutcome { request, attempt: attempt.number, outcome };
         self.fleet.feed_later(daemon, WORK, event);
         self.count(daemon, endpoint, now);
         if rate.is_some() {
--- a/crates/basilbank_forward/tests/forward/fleet/mod.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/mod.rs
@@ -152,7 +152,11 @@
         let read = Revisions::at(self.revision);
         for daemon in 0..self.len() {
             let (listed, gone) = (listed.to_vec(), gone.to_vec());
-            self.feed_later(daemon, WAY, Event::Changed { read, listed, gone });
+            self.feed_later(
+                daemon,
+                WAY,
+                Event::EndpointsChanged { revisions: read, updated: listed, removed: gone },
+            );
         }
     }
 
@@ -216,9 +220,12 @@
     /// It reads configuration and list.
     fn boot(&mut self, daemon: usize) {
         let read = Revisions::at(self.revision);
-        self.feed(daemon, Event::Routes { read, table: Some(Arc::clone(&self.table)) });
+        self.feed(
+            daemon,
+            Event::RoutesRead { revisions: read, table: Some(Arc::clone(&self.table)) },
+        );
         let list = self.listed.clone();
-        self.feed(daemon, Event::Endpoints { read, list });
+        self.feed(daemon, Event::EndpointsRead { revisions: read, list });
     }
 
     fn hear(&mut self, from: usize, to: usize, beat: &LoadBeat) {
@@ -228,7 +235,7 @@
             return;
         }
         self.daemons[to].heard += beat.wire_bytes();
-        self.feed(to, Event::beat(address(from), beat.clone()));
+        self.feed(to, Event::gossip(address(from), beat.clone()));
     }
 
     fn feed(&mut self, daemon: usize, event: Event) {
@@ -241,8 +248,8 @@
         reduce(&mut self.daemons[daemon].state, now, event, &mut effects);
         for effect in effects {
             match effect {
-                Effect::SendBeat { to, beat } => self.send(daemon, &to, *beat),
-                Effect::Note(_) => {}
+                Effect::SendGossip { to, gossip } => self.send(daemon, &to, *gossip),
+                Effect::Log(_) => {}
                 effect => {
                     let effect = Box::new(effect);
                     self.asked.push_back(Step::Asks { daemon, effect });
@@ -282,12 +289,12 @@
 pub fn call_of(id: RequestId, digest: Digest, path: &str) -> Call {
     Call {
         id,
-        trace: id.to_string(),
+        trace_id: id.to_string(),
         digest,
         host: "shop.example".to_owned(),
         path: path.to_owned(),
         credential: Credential::None,
-        patience: Some(Duration::from_secs(1)),
+        caller_timeout: Some(Duration::from_secs(1)),
         prompt: None,
     }
 }
--- a/crates/basilbank_forward/tests/forward/fleet/proofs.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/proofs.rs
@@ -113,8 +113,8 @@
         let way = Duration::from_secs_f64(slow);
         let read = Revisions::at(self.fleet.revision);
         let table = Some(Arc::clone(&self.fleet.table));
-        self.fleet.feed_later(daemon, way, Event::Routes { read, table });
-        self.fleet.feed_later(daemon, way, Event::Confirmed { asked });
+        self.fleet.feed_later(daemon, way, Event::RoutesRead { revisions: read, table });
+        self.fleet.feed_later(daemon, way, Event::RoutesConfirmed { asked_at: asked });
     }
 
     fn look(&mut self) {
--- a/crates/basilbank_forward/tests/forward/fleet/quotas.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/quotas.rs
@@ -198,11 +198,11 @@
         let within = self.take_ideal(amount);
         self.came.insert(id, (self.fleet.now(), amount, within));
         let tokens = amount as u32 - 100;
-        let prompt = Prompt { tokens, most: 100, hint: None, session: None };
+        let prompt = Prompt { tokens, max_output: 100, output_hint: None, session: None };
         let call = Call {
             credential: Credential::Key(KEY),
             prompt: Some(prompt),
-            patience: Some(Duration::from_secs(2)),
+            caller_timeout: Some(Duration::from_secs(2)),
             ..call_of(id, Digest(id.0), "/sheet/1")
         };
         self.fleet.feed_later(daemon, WAY, Event::Arrived(Box::new(call)));
@@ -225,7 +225,7 @@
         match effect {
             Effect::Start { request, attempt } => {
                 let outcome = Outcome::Answered { status: 200 };
-                let event = Event::Came { request, attempt: attempt.number, outcome };
+                let event = Event::AttemptOutcome { request, attempt: attempt.number, outcome };
                 self.fleet.feed_later(daemon, WORK, event);
                 if let Some((at, amount, _)) = self.came.remove(&request) {
                     let waited = self.fleet.now() - at - WAY;
@@ -233,8 +233,8 @@
                     self.count(amount);
                 }
             }
-            Effect::Refuse { request, refusal, after } => {
-                assert!(after.is_some_and(|after| !after.is_zero()), "no time to come back");
+            Effect::Refuse { request, refusal, retry_after } => {
+                assert!(retry_after.is_some_and(|after| !after.is_zero()), "no time to come back");
                 *self.refusals.entry(refusal.as_str()).or_default() += 1;
                 let within = self.came.remove(&request).is_some_and(|(_, _, within)| within);
                 self.got.refused += 1;
@@ -272,7 +272,7 @@
         let read = Revisions::at(self.revision);
         for daemon in 0..self.len() {
             let table = Some(Arc::clone(&self.table));
-            self.feed_later(daemon, WAY, Event::Routes { read, table });
+            self.feed_later(daemon, WAY, Event::RoutesRead { revisions: read, table });
         }
     }
 
--- a/crates/basilbank_forward/tests/forward/homes.rs
+++ b/crates/basilbank_forward/tests/forward/homes.rs
@@ -41,7 +41,7 @@
     for session in 0..400 {
         let (id, hold) = draft(&mut rig, session * 7919, 100);
         *places.entry(hold.target.instance).or_default() += 1;
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     assert_eq!(places.len(), 8);
     assert!(places.values().all(|count| (25..=80).contains(count)), "{places:?}");
@@ -69,6 +69,6 @@
 fn a_home_that_had_the_draft_is_not_tried_again() {
     let mut rig = daemon(1);
     let (id, hold) = draft(&mut rig, 42, 1000);
-    rig.came(id, hold.number, Outcome::NotRun(NotRun::Busy { after: None }));
+    rig.came(id, hold.number, Outcome::NotRun(NotRun::Busy { retry_after: None }));
     assert_ne!(rig.start().target, hold.target);
 }
--- a/crates/basilbank_forward/tests/forward/introductions.rs
+++ b/crates/basilbank_forward/tests/forward/introductions.rs
@@ -46,7 +46,7 @@
         for (from, to, beat) in sent {
             let Some(to) = self.index.get(&to).copied() else { continue };
             self.received[to] += beat.wire_bytes();
-            self.rigs[to].feed(Event::beat(address(from), beat));
+            self.rigs[to].feed(Event::gossip(address(from), beat));
         }
     }
 
--- a/crates/basilbank_forward/tests/forward/keys.rs
+++ b/crates/basilbank_forward/tests/forward/keys.rs
@@ -37,7 +37,7 @@
 /// The store answers a question that has just gone out.
 fn confirm(rig: &mut Rig) {
     let asked = rig.now();
-    rig.feed(Event::Confirmed { asked });
+    rig.feed(Event::RoutesConfirmed { asked_at: asked });
 }
 
 fn refused(rig: &mut Rig, path: &str, credential: Credential) -> Vec<Refusal> {
@@ -60,7 +60,7 @@
     let mut rig = rig();
     rig.call_with("/sheet/1", credential);
     let after = rig.effects.iter().find_map(|effect| match effect {
-        Effect::Refuse { refusal, after, .. } => Some((*refusal, *after)),
+        Effect::Refuse { refusal, retry_after: after, .. } => Some((*refusal, *after)),
         _ => None,
     });
     assert_eq!(after, Some((refusal, None)));
@@ -98,7 +98,7 @@
     let all = [Credential::Key(KEY), Credential::Key(OTHER), Credential::None];
     for credential in all {
         let refusals = refused(&mut rig, "/sheet/1", credential);
-        assert_eq!(refusals, [Refusal::KeysUnproved], "nobody is turned away for good");
+        assert_eq!(refusals, [Refusal::KeysUnconfirmed], "nobody is turned away for good");
     }
     assert!(!rig.state.ready(), "the balancer sends callers elsewhere");
     confirm(&mut rig);
@@ -112,9 +112,9 @@
     let mut rig = rig();
     let asked = rig.now();
     rig.pass(TRUST - Duration::from_millis(100));
-    rig.feed(Event::Confirmed { asked });
+    rig.feed(Event::RoutesConfirmed { asked_at: asked });
     rig.pass_ms(100);
-    assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), [Refusal::KeysUnproved]);
+    assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), [Refusal::KeysUnconfirmed]);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     let mut rig = rig();
     let from = SocketAddr::from(([10, 0, 1, 2], 7000));
     let beat = LoadBeat { incarnation: 1, sequence: 1, version: 3, ..LoadBeat::default() };
-    rig.feed(Event::beat(from, beat));
+    rig.feed(Event::gossip(from, beat));
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(OTHER)), [Refusal::Outdated]);
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), []);
 }
@@ -139,8 +139,8 @@
 #[test]
 fn quarantine_tells_teams_apart() {
     let call = Digest(7);
-    assert_ne!(call.by(TeamId::of("a")), call.by(TeamId::of("b")));
-    assert_eq!(call.by(TeamId::of("a")), call.by(TeamId::of("a")));
+    assert_ne!(call.for_team(TeamId::of("a")), call.for_team(TeamId::of("b")));
+    assert_eq!(call.for_team(TeamId::of("a")), call.for_team(TeamId::of("a")));
 }
 
 /// A daemon of a large fleet, where six peers watch the store for all.
@@ -148,7 +148,7 @@
     let mut rig = rig();
     for n in 2..=60 {
         let watching = n <= 7;
-        rig.feed(Event::beat(peer(n), LoadBeat { watching, ..beat(1) }));
+        rig.feed(Event::gossip(peer(n), LoadBeat { watching, ..beat(1) }));
     }
     rig.effects.clear();
     rig
@@ -167,7 +167,7 @@
     for _ in 0..ms / 100 {
         *sequence += 1;
         for n in 2..=60 {
-            rig.feed(Event::beat(peer(n), LoadBeat { watching: n <= 7, ..beat(*sequence) }));
+            rig.feed(Event::gossip(peer(n), LoadBeat { watching: n <= 7, ..beat(*sequence) }));
         }
         rig.pass_ms(100);
     }
@@ -192,7 +192,10 @@
     let (to, question) = asked[0];
     assert!((2..=7).map(peer).any(|watching| watching == to), "one that watches: {to}");
     let word = ConfigurationAge { age: Some(300), version: 2, ..question };
-    rig.feed(Event::beat(to, LoadBeat { incarnation: 1, ages: vec![word], ..LoadBeat::default() }));
+    rig.feed(Event::gossip(
+        to,
+        LoadBeat { incarnation: 1, ages: vec![word], ..LoadBeat::default() },
+    ));
     let age = rig.state.freshness.age(rig.now()).expect("a proof");
     assert!(age < Duration::from_millis(500), "{age:?}");
 }
@@ -206,25 +209,28 @@
     let (to, question) = asked[0];
     let word = if echo { ConfigurationAge { asked: question.asked, ..word } } else { word };
     let before = rig.state.freshness.proved;
-    rig.feed(Event::beat(to, LoadBeat { incarnation: 1, ages: vec![word], ..LoadBeat::default() }));
+    rig.feed(Event::gossip(
+        to,
+        LoadBeat { incarnation: 1, ages: vec![word], ..LoadBeat::default() },
+    ));
     assert_eq!(rig.state.freshness.proved, before);
 }
 
 #[test]
 fn an_answer_tells_how_old_the_proof_is() {
     let mut rig = rig();
-    rig.feed(Event::beat(peer(2), beat(1)));
+    rig.feed(Event::gossip(peer(2), beat(1)));
     rig.pass_ms(700);
     rig.effects.clear();
     let question = ConfigurationAge { asked: 5, age: None, version: 0 };
     let words = LoadBeat { incarnation: 1, ages: vec![question], ..LoadBeat::default() };
-    rig.feed(Event::beat(peer(2), words.clone()));
+    rig.feed(Event::gossip(peer(2), words.clone()));
     let answers = questions(&mut rig);
     assert_eq!(answers.len(), 1);
     let (to, answer) = answers[0];
     assert_eq!((to, answer.asked, answer.version), (peer(2), 5, 2));
     assert!(answer.age.is_some_and(|age| (700..800).contains(&age)), "{answer:?}");
-    rig.feed(Event::beat(peer(3), words));
+    rig.feed(Event::gossip(peer(3), words));
     assert_eq!(questions(&mut rig), [], "who is no peer isn't heard");
 }
 
@@ -266,7 +272,7 @@
     let mut rig = quota_of_one();
     let id = rig.call_with("/sheet/1", Credential::Key(KEY));
     assert_eq!(rig.start().op, Op::Plain);
-    rig.feed(Event::Left(id));
+    rig.feed(Event::CallerLeft(id));
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), [Refusal::OverQuota]);
 }
 
--- a/crates/basilbank_forward/tests/forward/leaving.rs
+++ b/crates/basilbank_forward/tests/forward/leaving.rs
@@ -30,7 +30,7 @@
     let mut rig = leaving_for(3060);
     rig.call("/draft/1", 14_000, Some(prompt(3000)));
     assert_eq!(rig.refusals(), [Refusal::Leaving]);
-    assert!(Refusal::Leaving.not_run());
+    assert!(Refusal::Leaving.is_not_run());
 }
 
 /// The balancer still sends callers here: one that came back would probably meet this daemon again, and
--- a/crates/basilbank_forward/tests/forward/line.rs
+++ b/crates/basilbank_forward/tests/forward/line.rs
@@ -19,7 +19,7 @@
     let service = basilbank_forward::state::service_hash(WRITER);
     let waiting = vec![WaitingDraft { service, due }];
     let beat = LoadBeat { incarnation: 2, sequence: 1, waiting, ..LoadBeat::default() };
-    rig.feed(Event::beat(([10, 0, 0, 2], 7000).into(), beat));
+    rig.feed(Event::gossip(([10, 0, 0, 2], 7000).into(), beat));
     rig.effects.clear();
     rig
 }
--- a/crates/basilbank_forward/tests/forward/load/mod.rs
+++ b/crates/basilbank_forward/tests/forward/load/mod.rs
@@ -11,7 +11,7 @@
 };
 
 use basilbank_core::state::Rng;
-use basilbank_forward::{event::Life, prelude::*};
+use basilbank_forward::{event::Liveness, prelude::*};
 use basilbank_wire::LoadBeat;
 
 pub use self::site::{Engines, Got, Phase, Placing};
@@ -121,13 +121,17 @@
     fn prepare(&mut self, phases: &[Phase]) {
         let read = Revisions::at(1);
         let table = Some(Arc::new(table(self.engines.memory)));
-        self.feed_all(&Event::Routes { read, table });
+        self.feed_all(&Event::RoutesRead { revisions: read, table });
         let count = self.engines.prefill + self.engines.decode;
         let list = (0..count).map(|n| {
             let stage = if n < self.engines.prefill { Stage::Prefill } else { Stage::Decode };
             endpoint(n, stage, self.engines.slots)
         });
-        self.feed_all(&Event::Changed { read, listed: list.collect(), gone: Vec::new() });
+        self.feed_all(&Event::EndpointsChanged {
+            revisions: read,
+            updated: list.collect(),
+            removed: Vec::new(),
+        });
         let engine = || Engine { token: self.engines.token, ..Engine::default() };
         self.endpoints.resize_with(usize::from(count), engine);
         let mut at = self.now;
@@ -187,13 +191,13 @@
             }
             Due::Heard { from, to, beat } => {
                 let beat = self.beats[beat].clone();
-                self.feed(to, Event::beat(address(from), beat));
+                self.feed(to, Event::gossip(address(from), beat));
             }
             Due::Probe { endpoint } => {
                 for daemon in 0..self.states.len() {
                     let key = self.states[daemon].directory.find(&name(endpoint));
                     let Some(endpoint) = key else { continue };
-                    self.feed(daemon, Event::Probed { endpoint, life: Life::Dark });
+                    self.feed(daemon, Event::Probed { endpoint, liveness: Liveness::Unreachable });
                 }
             }
         }
@@ -211,8 +215,8 @@
         let hint = (f64::from(output) * (0.5 + self.rng.unit())) as u32;
         let prompt = Prompt {
             tokens,
-            most: self.engines.output as u32 * 5 / 2 + 20,
-            hint: Some(hint),
+            max_output: self.engines.output as u32 * 5 / 2 + 20,
+            output_hint: Some(hint),
             session: Some(id),
         };
         let draft = Draft { came: self.now, prompt: prompt.clone(), output, first: None };
@@ -222,12 +226,12 @@
             Placing::Router(_) => {
                 let call = Call {
                     id: RequestId(id),
-                    trace: id.to_string(),
+                    trace_id: id.to_string(),
                     digest: Digest(id),
                     host: "shop.example".to_owned(),
                     credential: Credential::None,
                     path: "/draft/1".to_owned(),
-                    patience: Some(PATIENCE),
+                    caller_timeout: Some(PATIENCE),
                     prompt: Some(prompt),
                 };
                 self.feed(self.daemon(id), Event::Arrived(Box::new(call)));
@@ -263,11 +267,11 @@
         for effect in effects {
             match effect {
                 Effect::Start { request, attempt } => self.start(request.0, &attempt),
-                Effect::Refuse { request, .. } | Effect::Cut { request, .. } => {
+                Effect::Refuse { request, .. } | Effect::AbortStream { request, .. } => {
                     self.drafts.remove(&request.0);
                 }
-                Effect::SendBeat { to, beat } => {
-                    self.beats.push(*beat);
+                Effect::SendGossip { to, gossip } => {
+                    self.beats.push(*gossip);
                     let beat = self.beats.len() - 1;
                     for to in to.into_iter().map(daemon_at) {
                         let from = u16::try_from(daemon).unwrap_or_default();
@@ -347,7 +351,10 @@
             Answer::Streaming => Outcome::Streaming,
             Answer::Unreachable => Outcome::Unreachable,
         };
-        self.feed(self.daemon(draft), Event::Came { request: RequestId(draft), attempt, outcome });
+        self.feed(
+            self.daemon(draft),
+            Event::AttemptOutcome { request: RequestId(draft), attempt, outcome },
+        );
     }
 
     /// A draft waits at the engine until there is memory for its prompt. What is generated grows beyond
@@ -381,7 +388,7 @@
             if lapsed {
                 self.got.vain += 1;
                 self.drafts.remove(&next.draft);
-                let outcome = Outcome::NotRun(NotRun::Busy { after: None });
+                let outcome = Outcome::NotRun(NotRun::Busy { retry_after: None });
                 if matches!(self.placing, Placing::Router(_)) {
                     self.drop_draft(next.draft, next.attempt, outcome);
                 }
@@ -399,8 +406,8 @@
     /// The draft is over for the figures; the router may do with it what it likes.
     fn drop_draft(&mut self, draft: u64, attempt: u32, outcome: Outcome) {
         let daemon = self.daemon(draft);
-        self.feed(daemon, Event::Came { request: RequestId(draft), attempt, outcome });
-        self.feed(daemon, Event::Left(RequestId(draft)));
+        self.feed(daemon, Event::AttemptOutcome { request: RequestId(draft), attempt, outcome });
+        self.feed(daemon, Event::CallerLeft(RequestId(draft)));
     }
 
     fn release(&mut self, endpoint: usize, draft: u64) {
@@ -419,7 +426,7 @@
         if matches!(self.placing, Placing::Router(_)) {
             let request = RequestId(draft);
             let outcome = Outcome::Finished;
-            self.feed(self.daemon(draft), Event::Came { request, attempt, outcome });
+            self.feed(self.daemon(draft), Event::AttemptOutcome { request, attempt, outcome });
         }
     }
 }
--- a/crates/basilbank_forward/tests/forward/old_views.rs
+++ b/crates/basilbank_forward/tests/forward/old_views.rs
@@ -33,7 +33,7 @@
         let hold = rig.start();
         rig.came(id, hold.number, held());
         *placed.entry(rig.start().target.instance).or_default() += 1;
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     placed
 }
@@ -80,7 +80,7 @@
         sequence += 1;
         for n in 1..FLEET {
             let beat = LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() };
-            rig.feed(Event::beat(address(n), beat));
+            rig.feed(Event::gossip(address(n), beat));
         }
     };
     let (mut latest, mut bytes) = (Duration::ZERO, 0);
@@ -106,7 +106,7 @@
         }
         latest = latest.max(rig.now() - began);
         rig.pass_ms(600);
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
         rig.pass_ms(2000);
     }
     told(&mut rig);
@@ -122,7 +122,7 @@
     rig.list(vec![model("p1", 1, Stage::Prefill), model("d1", 2, Stage::Decode)]);
     for n in 1..=peers {
         let beat = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
-        rig.feed(Event::beat(address(n), beat));
+        rig.feed(Event::gossip(address(n), beat));
     }
     rig.call("/draft/1", 14_000, Some(prompt(3000)));
     match rig.start().op {
@@ -158,14 +158,14 @@
         sequence += 1;
         for n in 1..=peers {
             let beat = LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() };
-            rig.feed(Event::beat(address(n), beat));
+            rig.feed(Event::gossip(address(n), beat));
         }
     };
     for _ in 0..100 {
         hear(&mut rig, 79);
         let id = rig.call("/draft/1", 14_000, Some(prompt(500)));
         rig.pass_ms(100);
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
         rig.pass_ms(100);
     }
     hear(&mut rig, 100);
@@ -194,13 +194,13 @@
     rig.list(vec![model("d", 1, Stage::Decode), model("p", 2, Stage::Prefill)]);
     for n in 0..peers {
         let from = SocketAddr::from(([10, 0, 2, n], 7000));
-        rig.feed(Event::beat(
+        rig.feed(Event::gossip(
             from,
             LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() },
         ));
     }
     rig.effects.clear();
-    let prompt = Prompt { tokens, most: 7000, hint: Some(hint), session: None };
+    let prompt = Prompt { tokens, max_output: 7000, output_hint: Some(hint), session: None };
     rig.call("/draft/1", 14_000, Some(prompt));
     match rig.start().op {
         Op::Hold { tokens, .. } => assert_eq!(tokens, held),
--- a/crates/basilbank_forward/tests/forward/order_schedules.rs
+++ b/crates/basilbank_forward/tests/forward/order_schedules.rs
@@ -68,7 +68,7 @@
 
 fn new_vm(right: OrderRight) -> Vm {
     let mut rig = Rig::new();
-    rig.feed(Event::Right(right));
+    rig.feed(Event::OrderRight(right));
     Vm { rig, frozen: 0, cut: 0, learns: None }
 }
 
@@ -145,7 +145,7 @@
             && at <= now
         {
             vm.learns = None;
-            vm.rig.feed(Event::Right(right));
+            vm.rig.feed(Event::OrderRight(right));
         }
         if 0 < vm.cut {
             vm.cut -= 1;
--- a/crates/basilbank_forward/tests/forward/pace.rs
+++ b/crates/basilbank_forward/tests/forward/pace.rs
@@ -69,5 +69,5 @@
     let beats = one.beats();
     let (_, beat) = beats.last().expect("a heartbeat").clone();
     let from = one.state.peers.own.expect("an address");
-    two.feed(Event::beat(from, beat));
+    two.feed(Event::gossip(from, beat));
 }
--- a/crates/basilbank_forward/tests/forward/peers.rs
+++ b/crates/basilbank_forward/tests/forward/peers.rs
@@ -54,11 +54,11 @@
                 let rig = self.rigs.get_mut(&at).expect("a daemon");
                 let id = rig.call("/draft/1", 14_000, Some(prompt(500)));
                 rig.pass(Duration::from_millis(10));
-                rig.feed(Event::Left(id));
+                rig.feed(Event::CallerLeft(id));
                 let beats = rig.beats();
                 for (to, beat) in beats {
                     if let Some(rig) = self.rigs.get_mut(&to) {
-                        rig.feed(Event::beat(at, beat));
+                        rig.feed(Event::gossip(at, beat));
                     }
                 }
             }
@@ -105,7 +105,7 @@
     fleet.busy(10);
     let used = |rig: &Rig| rig.state.directory.get(endpoint).map(|e| e.peer_tokens);
     assert!(Some(3000) <= used(fleet.rig(2)));
-    fleet.rig(1).feed(Event::Left(id));
+    fleet.rig(1).feed(Event::CallerLeft(id));
     fleet.busy(10);
     assert!(used(fleet.rig(2)) < Some(3000));
 }
@@ -115,9 +115,9 @@
     let mut rig = numbered(1);
     let from = ([10, 0, 0, 2], 7000).into();
     let beat = LoadBeat { incarnation: 2, sequence: 1, ..LoadBeat::default() };
-    rig.feed(Event::beat(from, beat.clone()));
+    rig.feed(Event::gossip(from, beat.clone()));
     assert_eq!(rig.state.peers.known.len(), 1);
-    rig.feed(Event::beat(from, LoadBeat { sequence: 2, leaving: true, ..beat }));
+    rig.feed(Event::gossip(from, LoadBeat { sequence: 2, leaving: true, ..beat }));
     assert!(rig.state.peers.known.is_empty());
 }
 
@@ -152,7 +152,7 @@
     let new = fleet.rig(0).beats();
     let from = fleet.addresses[0];
     for (_, beat) in new.into_iter().chain(old) {
-        fleet.rig(1).feed(Event::beat(from, beat));
+        fleet.rig(1).feed(Event::gossip(from, beat));
     }
     let peer = fleet.rig(1).state.peers.known[&from].clone();
     assert_eq!(peer.loads.iter().map(|load| load.share.tokens).sum::<u32>(), 3060);
@@ -166,7 +166,7 @@
     fleet.rig(0).feed(Event::Shutdown { grace: Duration::from_secs(8) });
     let from = fleet.addresses[0];
     for (_, beat) in fleet.rig(0).beats() {
-        fleet.rig(1).feed(Event::beat(from, beat));
+        fleet.rig(1).feed(Event::gossip(from, beat));
     }
     assert!(fleet.rig(1).state.peers.known.is_empty());
 }
@@ -180,7 +180,7 @@
     fleet.busy(60);
     let key = fleet.rig(0).state.directory.find("p1").expect("listed");
     let accepted = basilbank_forward::event::Acceptance::Accepted;
-    fleet.rig(0).feed(Event::Ordered { endpoint: key, accepted });
+    fleet.rig(0).feed(Event::OrderAnswered { endpoint: key, acceptance: accepted });
     fleet.busy(10);
     let key = fleet.rig(1).state.directory.find("p1").expect("listed");
     let now = fleet.rig(1).now();
@@ -236,7 +236,7 @@
     rig.list(list.chain([model("p1", 1, Stage::Prefill)]).collect());
     for n in 1..320 {
         let beat = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
-        rig.feed(Event::beat(address(n), beat));
+        rig.feed(Event::gossip(address(n), beat));
     }
     rig
 }
@@ -257,7 +257,7 @@
             running.push_back(rig.call("/draft/1", 14_000, Some(prompt(500))));
             if 15 < running.len() {
                 let over = running.pop_front().expect("a draft");
-                rig.feed(Event::Left(over));
+                rig.feed(Event::CallerLeft(over));
             }
         }
         rig.pass_ms(50);
@@ -265,7 +265,7 @@
         for n in 1..320u16 {
             let from = SocketAddr::from(([10, 1, (n >> 8) as u8, n as u8], 7000));
             let beat = LoadBeat { incarnation: 1, sequence: 2 + step, ..LoadBeat::default() };
-            rig.feed(Event::beat(from, beat));
+            rig.feed(Event::gossip(from, beat));
         }
         let to = SocketAddr::from(([10, 1, 0, 1], 7000));
         let beats = rig.beats();
@@ -297,13 +297,13 @@
         rig.state.local.start = start;
         rig.list(vec![model("p1", 1, Stage::Prefill), model("d1", 2, Stage::Decode)]);
         let beat = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
-        rig.feed(Event::beat(seed, beat));
+        rig.feed(Event::gossip(seed, beat));
         rig.beats();
         let mut sent = 0;
         for _ in 0..100 {
             let id = rig.call("/draft/1", 14_000, Some(prompt(500)));
             rig.pass_ms(20);
-            rig.feed(Event::Left(id));
+            rig.feed(Event::CallerLeft(id));
             sent += rig.beats().len();
         }
         sent
--- a/crates/basilbank_forward/tests/forward/plain.rs
+++ b/crates/basilbank_forward/tests/forward/plain.rs
@@ -28,7 +28,7 @@
     rig.starts();
     rig.pass_ms(1100);
     assert_eq!(rig.refusals(), [Refusal::TimedOut]);
-    assert!(!Refusal::TimedOut.not_run());
+    assert!(!Refusal::TimedOut.is_not_run());
 }
 
 #[test_case(Outcome::Broken(Damage::Closed), &[Refusal::Broken]; "broken")]
@@ -88,7 +88,7 @@
     let mut rig = rig();
     let id = rig.call("/sheet/1", 2500, None);
     rig.starts();
-    rig.feed(Event::Left(id));
+    rig.feed(Event::CallerLeft(id));
     assert!(rig.effects.iter().any(|e| matches!(e, Effect::Stop { .. })));
     assert!(rig.state.requests.is_empty());
 }
--- a/crates/basilbank_forward/tests/forward/quarantine.rs
+++ b/crates/basilbank_forward/tests/forward/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
-use basilbank_forward::{event::Life, prelude::*};
+use basilbank_forward::{event::Liveness, prelude::*};
 use basilbank_wire::{CrashReport, LoadBeat, Quarantined};
 use test_case::test_case;
 
@@ -67,12 +67,12 @@
 #[test]
 fn a_daemon_that_starts_later_hears_of_all_that_is_in_quarantine() {
     let mut rig = numbered(1);
-    rig.feed(Event::beat(peer(2), quarantined(DEADLY.0)));
+    rig.feed(Event::gossip(peer(2), quarantined(DEADLY.0)));
     rig.pass_ms(10_000);
-    rig.feed(Event::beat(peer(2), LoadBeat { sequence: 2, ..quarantined(9) }));
+    rig.feed(Event::gossip(peer(2), LoadBeat { sequence: 2, ..quarantined(9) }));
     rig.beats();
     let greeting = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
-    rig.feed(Event::beat(peer(3), greeting));
+    rig.feed(Event::gossip(peer(3), greeting));
     let beats = rig.beats();
     let introduction = beats.iter().find(|(to, _)| *to == peer(3)).expect("an introduction");
     let told: BTreeSet<_> = introduction.1.quarantined.iter().map(|told| told.digest).collect();
@@ -86,7 +86,7 @@
     let report = |endpoint, digest| CrashReport { endpoint, digest, ran: 30 };
     let tell = |rig: &mut Rig, sequence, crashes| {
         let beat = LoadBeat { incarnation: 1, sequence, crashes, ..LoadBeat::default() };
-        rig.feed(Event::beat(peer(2), beat));
+        rig.feed(Event::gossip(peer(2), beat));
         rig.pass_ms(1000);
     };
     tell(&mut rig, 1, vec![report(1, 0), report(2, 0)]);
@@ -107,7 +107,7 @@
         let report = |digest, ran| CrashReport { endpoint, digest, ran };
         let crashes = vec![report(50, 4000), report(DEADLY.0, 60), report(51, 90 * endpoint)];
         let beat = LoadBeat { incarnation: 1, sequence, crashes, ..LoadBeat::default() };
-        rig.feed(Event::beat(peer(2), beat));
+        rig.feed(Event::gossip(peer(2), beat));
         rig.pass_ms(1000);
     }
     let kept: Vec<_> = [50, 51, DEADLY.0]
@@ -123,7 +123,7 @@
     rig.list((1..=6).map(|n| plain(&format!("e{n}"), n)).collect());
     for _ in 0..5 {
         let id = rig.call("/stock/1", 2000, None);
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
         rig.starts();
     }
     let prompt = Digest(99);
@@ -132,7 +132,7 @@
         let attempt = rig.start();
         let endpoint = attempt.target.endpoint;
         rig.came(id, attempt.number, Outcome::Broken(Damage::Closed));
-        rig.feed(Event::Probed { endpoint, life: Life::Alive });
+        rig.feed(Event::Probed { endpoint, liveness: Liveness::Alive });
         rig.pass_ms(1000);
     }
     assert!(rig.state.quarantine.is_empty());
@@ -153,7 +153,7 @@
             quarantined: vec![told],
             ..LoadBeat::default()
         };
-        rig.feed(Event::beat(peer(2), beat));
+        rig.feed(Event::gossip(peer(2), beat));
     }
     assert_eq!(rig.state.quarantine.len(), 512);
     assert!(rig.state.crashes.len() <= 128 * 256);
--- a/crates/basilbank_forward/tests/forward/queue.rs
+++ b/crates/basilbank_forward/tests/forward/queue.rs
@@ -40,7 +40,7 @@
     rig.pass_ms(10);
     rig.call("/edit/2", 14_000, Some(prompt(9000)));
     assert!(rig.starts().is_empty(), "both wait");
-    rig.feed(Event::Left(leaves));
+    rig.feed(Event::CallerLeft(leaves));
     assert_eq!(rig.start().target.instance, "d2");
     assert_eq!(rig.state.waiting.len(), 1, "the other one goes on waiting");
 }
--- a/crates/basilbank_forward/tests/forward/restart_schedules.rs
+++ b/crates/basilbank_forward/tests/forward/restart_schedules.rs
@@ -159,7 +159,7 @@
             Happening::Leave(vm, nth) if !self.callers[vm].is_empty() => {
                 let nth = nth % self.callers[vm].len();
                 let id = self.callers[vm].swap_remove(nth);
-                self.vms[vm].1.feed(Event::Left(id));
+                self.vms[vm].1.feed(Event::CallerLeft(id));
             }
             Happening::Come(vm, nth, answer) if !self.sent[vm].is_empty() => {
                 let nth = nth % self.sent[vm].len();
@@ -185,7 +185,7 @@
         let list = (0..ENDPOINTS.len()).map(|n| entry(n, self.starts[n])).collect();
         let rig = &mut self.vms[vm].1;
         let read = Revisions::at(rig.state.directory.revision.number + 1);
-        rig.feed(Event::Endpoints { read, list });
+        rig.feed(Event::EndpointsRead { revisions: read, list });
         rig.set_revision(read.store.number);
     }
 
@@ -216,7 +216,7 @@
             self.network.drain(..).partition(|(at, ..)| *at <= self.step);
         self.network = rest;
         for (_, to, from, beat) in due {
-            self.vms[to].1.feed(Event::beat(from, beat));
+            self.vms[to].1.feed(Event::gossip(from, beat));
         }
         for vm in 0..DAEMONS {
             self.carry_out(vm)?;
@@ -229,7 +229,8 @@
         for effect in std::mem::take(&mut self.vms[vm].1.effects) {
             match effect {
                 Effect::Start { request, attempt } => self.start(vm, request, attempt)?,
-                Effect::Drop { target, hold: name } | Effect::Free { target, handle: name } => {
+                Effect::ReleaseHold { target, hold: name }
+                | Effect::FreeKv { target, handle: name } => {
                     let state = &self.vms[vm].1.state;
                     // Its last call may have ended with this, and it is removed then.
                     if let Some(endpoint) = state.directory.get(target.endpoint) {
@@ -240,7 +241,7 @@
                     let present = present.map_or(name.clone(), |e| start_name(&e.info));
                     prop_assert_eq!(name, present, "given back at another start");
                 }
-                Effect::SendBeat { to, beat } => self.send(vm, &to, &beat),
+                Effect::SendGossip { to, gossip } => self.send(vm, &to, &gossip),
                 _ => {}
             }
         }
@@ -337,7 +338,7 @@
     fn settle(&mut self) -> Result<(), TestCaseError> {
         for vm in 0..DAEMONS {
             for id in std::mem::take(&mut self.callers[vm]) {
-                self.vms[vm].1.feed(Event::Left(id));
+                self.vms[vm].1.feed(Event::CallerLeft(id));
             }
         }
         self.run()?;
--- a/crates/basilbank_forward/tests/forward/restarted_drafts.rs
+++ b/crates/basilbank_forward/tests/forward/restarted_drafts.rs
@@ -11,7 +11,8 @@
 
 /// Nothing is given back anywhere.
 fn gives_nothing_back(rig: &Rig) -> bool {
-    let gives = |effect: &Effect| matches!(effect, Effect::Drop { .. } | Effect::Free { .. });
+    let gives =
+        |effect: &Effect| matches!(effect, Effect::ReleaseHold { .. } | Effect::FreeKv { .. });
     !rig.effects.iter().any(gives)
 }
 
@@ -57,7 +58,7 @@
     assert_ne!(again.target.endpoint, hold.target.endpoint);
     assert!(gives_nothing_back(&rig));
     assert_eq!(calls_at(&rig, "d1"), (1, 1060), "the new one alone");
-    rig.feed(Event::Left(id));
+    rig.feed(Event::CallerLeft(id));
     assert_eq!(calls_at(&rig, "d1"), (0, 0));
 }
 
@@ -111,7 +112,7 @@
     assert!(matches!(rig.start().op, Op::Decode { .. }));
     restart_decode(&mut rig);
     restart_prefill(&mut rig);
-    rig.feed(Event::Left(id));
+    rig.feed(Event::CallerLeft(id));
     assert!(gives_nothing_back(&rig), "{:?}", rig.effects);
     assert_eq!(rig.state.directory.len(), 2);
 }
@@ -146,7 +147,7 @@
     // Calls enough for a retry.
     for _ in 0..40 {
         let (id, _) = draft(&mut rig);
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     rig.effects.clear();
     let (id, hold) = draft(&mut rig);
--- a/crates/basilbank_forward/tests/forward/restarts.rs
+++ b/crates/basilbank_forward/tests/forward/restarts.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use basilbank_forward::{
-    event::{Acceptance, Life},
+    event::{Acceptance, Liveness},
     prelude::*,
 };
 use test_case::test_case;
@@ -24,14 +24,14 @@
 }
 
 fn forgotten(rig: &Rig, key: EndpointKey) -> bool {
-    rig.effects.contains(&Effect::Forget(key))
+    rig.effects.contains(&Effect::CloseConnections(key))
 }
 
 /// Where a plain call goes; it leaves at once.
 fn target(rig: &mut Rig) -> Option<EndpointKey> {
     let id = rig.call("/stock/1", 1000, None);
     let start = rig.starts().pop();
-    rig.feed(Event::Left(id));
+    rig.feed(Event::CallerLeft(id));
     start.map(|attempt| attempt.target.endpoint)
 }
 
@@ -87,7 +87,7 @@
     let present = key(&rig, "a");
     rig.list(vec![former.clone()]);
     assert_eq!(target(&mut rig), Some(present));
-    rig.feed(Event::Endpoints { read: Revisions::at(99), list: vec![former.clone()] });
+    rig.feed(Event::EndpointsRead { revisions: Revisions::at(99), list: vec![former.clone()] });
     assert_eq!(target(&mut rig), Some(present));
     assert!(!forgotten(&rig, present));
     rig.change(vec![], &["a"]);
@@ -207,7 +207,7 @@
     from.pass_ms(600);
     to.pass_ms(600);
     for (_, beat) in from.beats() {
-        to.feed(Event::beat(address, beat));
+        to.feed(Event::gossip(address, beat));
     }
 }
 
@@ -251,7 +251,7 @@
 fn a_peers_word_of_the_former_start_says_nothing_of_the_new_one() {
     let (mut one, address, mut other) = daemons();
     let former = key(&one, "d1");
-    one.feed(Event::Ordered { endpoint: former, accepted: Acceptance::Accepted });
+    one.feed(Event::OrderAnswered { endpoint: former, acceptance: Acceptance::Accepted });
     tell(&mut one, &mut other, address);
     let avoided = |rig: &Rig| rig.state.directory.get(key(rig, "d1")).expect("listed").avoided;
     assert!(other.now() < avoided(&other));
@@ -273,7 +273,7 @@
         let call = rig.start();
         rig.pass_ms(200);
         rig.came(id, call.number, outcome);
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     assert_eq!(rig.state.suspects.len(), 1);
     rig.list(vec![born(2, plain("a", 1))]);
@@ -281,7 +281,7 @@
     rig.effects.clear();
     rig.pass_ms(2000);
     assert!(!rig.effects.iter().any(|effect| matches!(effect, Effect::Probe(_))));
-    rig.feed(Event::Probed { endpoint: former, life: Life::Dark });
+    rig.feed(Event::Probed { endpoint: former, liveness: Liveness::Unreachable });
     let endpoint = rig.state.directory.get(key(&rig, "a")).expect("listed");
     assert_eq!((endpoint.mean, endpoint.slowness), (None, 1.0));
     assert_eq!((endpoint.avoided, endpoint.shunned), (Duration::ZERO, Duration::ZERO));
@@ -312,7 +312,7 @@
 #[test]
 fn an_order_is_forgotten_with_the_start_that_accepted_it() {
     let mut rig = Rig::new();
-    rig.feed(Event::Right(OrderRight::AtOnce));
+    rig.feed(Event::OrderRight(OrderRight::AtOnce));
     let list: Vec<_> =
         (0..9).map(|n| born(1, model(&format!("m{n}"), n + 1, Stage::Prefill))).collect();
     rig.list(list.clone());
@@ -331,7 +331,7 @@
         }
         for target in &made {
             let endpoint = target.endpoint;
-            rig.feed(Event::Ordered { endpoint, accepted: Acceptance::Accepted });
+            rig.feed(Event::OrderAnswered { endpoint, acceptance: Acceptance::Accepted });
         }
         made
     };
@@ -361,7 +361,7 @@
             let prompt = Prompt { session: Some(session * 7919), ..prompt(100) };
             let id = rig.call("/draft/1", 14_000, Some(prompt));
             places.push(rig.start().target.instance);
-            rig.feed(Event::Left(id));
+            rig.feed(Event::CallerLeft(id));
         }
         places
     };
--- a/crates/basilbank_forward/tests/forward/restored_store.rs
+++ b/crates/basilbank_forward/tests/forward/restored_store.rs
@@ -13,18 +13,22 @@
 
 /// Everything of the list, as a store of the era holds it.
 fn read_list(rig: &mut Rig, era: u64, number: u64, list: Vec<EndpointInfo>) {
-    rig.feed(Event::Endpoints { read: Revisions::at(Revision { era, number }), list });
+    rig.feed(Event::EndpointsRead { revisions: Revisions::at(Revision { era, number }), list });
 }
 
 /// A change of the list.
 fn change_list(rig: &mut Rig, era: u64, number: u64, listed: Vec<EndpointInfo>, gone: &[&str]) {
     let gone = gone.iter().map(|name| (*name).to_owned()).collect();
-    rig.feed(Event::Changed { read: Revisions::at(Revision { era, number }), listed, gone });
+    rig.feed(Event::EndpointsChanged {
+        revisions: Revisions::at(Revision { era, number }),
+        updated: listed,
+        removed: gone,
+    });
 }
 
 fn read_routes(rig: &mut Rig, era: u64, number: u64, version: u64) {
     let read = Revisions::at(Revision { era, number });
-    rig.feed(Event::Routes { read, table: Some(Arc::new(table(version))) });
+    rig.feed(Event::RoutesRead { revisions: read, table: Some(Arc::new(table(version))) });
 }
 
 /// The endpoints that get work.
@@ -71,7 +75,7 @@
 fn a_new_era_is_news_also_without_a_change() {
     let mut rig = numbered(1);
     let from = SocketAddr::from(([10, 0, 0, 2], 7000));
-    rig.feed(Event::beat(from, LoadBeat { sequence: 1, ..LoadBeat::default() }));
+    rig.feed(Event::gossip(from, LoadBeat { sequence: 1, ..LoadBeat::default() }));
     read_routes(&mut rig, 1, 900, 5);
     read_list(&mut rig, 1, 900, vec![plain("a", 1)]);
     read_routes(&mut rig, 2, 40, 5);
@@ -90,11 +94,11 @@
     let from = SocketAddr::from(([10, 0, 0, 2], 7000));
     let word = Some(StoreRevision { era: 7, number: 3 });
     let beat = |sequence| LoadBeat { sequence, routes_news: word, ..LoadBeat::default() };
-    rig.feed(Event::beat(from, beat(1)));
+    rig.feed(Event::gossip(from, beat(1)));
     assert!(rig.state.behind(Topic::Routes));
     let revision = Revision { era: 7, number: 3 };
-    rig.feed(Event::Disproved { topic: Topic::Routes, revision });
-    rig.feed(Event::beat(from, beat(2)));
+    rig.feed(Event::RevisionNotFound { topic: Topic::Routes, revision });
+    rig.feed(Event::gossip(from, beat(2)));
     assert!(!rig.state.behind(Topic::Routes));
 }
 
@@ -189,8 +193,8 @@
     assert!(!rig.state.outdated());
     let from = SocketAddr::from(([10, 0, 0, 2], 7000));
     let beat = |sequence, version| LoadBeat { sequence, version, ..LoadBeat::default() };
-    rig.feed(Event::beat(from, beat(1, 5)));
-    rig.feed(Event::beat(from, beat(2, 0)));
+    rig.feed(Event::gossip(from, beat(1, 5)));
+    rig.feed(Event::gossip(from, beat(2, 0)));
     assert!(rig.state.outdated());
     read_routes(&mut rig, 2, 41, 5);
     assert!(!rig.state.outdated());
@@ -203,9 +207,12 @@
 fn fencing_numbers_rise_over_eras_and_restarts() {
     let order = |revision: Revision| {
         let mut rig = numbered(1);
-        rig.feed(Event::Right(OrderRight::AtOnce));
+        rig.feed(Event::OrderRight(OrderRight::AtOnce));
         let readers = (0..9).map(|n| model(&format!("p{n}"), 10 + n, Stage::Prefill));
-        rig.feed(Event::Endpoints { read: Revisions::at(revision), list: readers.collect() });
+        rig.feed(Event::EndpointsRead {
+            revisions: Revisions::at(revision),
+            list: readers.collect(),
+        });
         rig.pass_ms(1500);
         let fence = |effect: &Effect| match effect {
             Effect::Order { fence, .. } => Some(*fence),
--- a/crates/basilbank_forward/tests/forward/rig.rs
+++ b/crates/basilbank_forward/tests/forward/rig.rs
@@ -66,7 +66,7 @@
     pub fn beats(&mut self) -> Vec<(SocketAddr, LoadBeat)> {
         let effects = std::mem::take(&mut self.effects);
         let beats = effects.into_iter().filter_map(|effect| match effect {
-            Effect::SendBeat { to, beat } => Some((to, *beat)),
+            Effect::SendGossip { to, gossip } => Some((to, *gossip)),
             _ => None,
         });
         let each = beats.flat_map(|(to, beat)| to.into_iter().map(move |to| (to, beat.clone())));
@@ -109,7 +109,7 @@
     /// A configuration is read.
     pub fn configure(&mut self, table: RouteTable) {
         let read = Revisions::at(self.revision);
-        self.feed(Event::Routes { read, table: Some(Arc::new(table)) });
+        self.feed(Event::RoutesRead { revisions: read, table: Some(Arc::new(table)) });
     }
 
     /// Lists endpoints, as a change.
@@ -122,7 +122,7 @@
         self.revision += 1;
         let gone = gone.iter().map(|name| (*name).to_owned()).collect();
         let read = Revisions::at(self.revision);
-        self.feed(Event::Changed { read, listed, gone });
+        self.feed(Event::EndpointsChanged { revisions: read, updated: listed, removed: gone });
     }
 
     /// A call comes in; returns its number.
@@ -152,12 +152,12 @@
         self.next += 1;
         let call = Call {
             id,
-            trace: format!("trace-{}", id.0),
+            trace_id: format!("trace-{}", id.0),
             digest,
             host: "shop.example".to_owned(),
             path: path.to_owned(),
             credential,
-            patience: Some(Duration::from_millis(patience_ms)),
+            caller_timeout: Some(Duration::from_millis(patience_ms)),
             prompt,
         };
         self.feed(Event::Arrived(Box::new(call)));
@@ -166,7 +166,7 @@
 
     /// An attempt of a request comes to something.
     pub fn came(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
-        self.feed(Event::Came { request, attempt, outcome });
+        self.feed(Event::AttemptOutcome { request, attempt, outcome });
     }
 
     /// The attempts that were started since the last look.
@@ -277,11 +277,11 @@
 
 /// A prompt of some tokens, with sixty more to generate.
 pub fn prompt(tokens: u32) -> Prompt {
-    Prompt { tokens, most: 100, hint: Some(60), session: None }
+    Prompt { tokens, max_output: 100, output_hint: Some(60), session: None }
 }
 
 /// The endpoint is full, or lacks the KV cache.
-pub const BUSY: Outcome = Outcome::NotRun(NotRun::Busy { after: None });
+pub const BUSY: Outcome = Outcome::NotRun(NotRun::Busy { retry_after: None });
 
 /// A held slot.
 pub fn held() -> Outcome {
--- a/crates/basilbank_forward/tests/forward/roles.rs
+++ b/crates/basilbank_forward/tests/forward/roles.rs
@@ -14,7 +14,7 @@
 ) -> Vec<Effect> {
     let mut rig = Rig::new();
     rig.configure(table_with_memory(2, memory));
-    rig.feed(Event::Right(right));
+    rig.feed(Event::OrderRight(right));
     let stage = |n| if n < prefill { Stage::Prefill } else { Stage::Decode };
     let endpoint = |n| EndpointInfo { slots, ..model(&format!("m{n}"), n + 1, stage(n)) };
     let list: Vec<_> = (0..prefill + decode).map(endpoint).collect();
@@ -69,7 +69,7 @@
 #[test]
 fn without_the_store_nothing_is_ordered() {
     let mut rig = Rig::new();
-    rig.feed(Event::Right(OrderRight::AtOnce));
+    rig.feed(Event::OrderRight(OrderRight::AtOnce));
     rig.list((0..9).map(|n| model(&format!("m{n}"), n + 1, Stage::Prefill)).collect());
     rig.effects.clear();
     // The list is not confirmed any more: the daemon may be cut off.
@@ -84,7 +84,7 @@
 #[test]
 fn a_refused_order_is_not_repeated() {
     let mut rig = Rig::new();
-    rig.feed(Event::Right(OrderRight::AtOnce));
+    rig.feed(Event::OrderRight(OrderRight::AtOnce));
     rig.list((0..4).map(|n| model(&format!("m{n}"), n + 1, Stage::Prefill)).collect());
     rig.pass_ms(1500);
     let count =
@@ -93,7 +93,7 @@
     assert!(0 < first);
     for n in 0..4 {
         let endpoint = rig.state.directory.find(&format!("m{n}")).unwrap();
-        rig.feed(Event::Ordered { endpoint, accepted: Acceptance::Refused });
+        rig.feed(Event::OrderAnswered { endpoint, acceptance: Acceptance::Refused });
     }
     rig.list(vec![model("m0", 1, Stage::Prefill)]);
     rig.pass_ms(2000);
@@ -107,7 +107,7 @@
 #[test]
 fn a_vm_that_stood_still_does_not_order_at_once() {
     let mut rig = Rig::new();
-    rig.feed(Event::Right(OrderRight::AtOnce));
+    rig.feed(Event::OrderRight(OrderRight::AtOnce));
     rig.pass_ms(500);
     let list: Vec<_> = (0..9).map(|n| model(&format!("m{n}"), n + 1, Stage::Prefill)).collect();
     rig.list(list.clone());
--- a/crates/basilbank_forward/tests/forward/routes.rs
+++ b/crates/basilbank_forward/tests/forward/routes.rs
@@ -53,7 +53,7 @@
     let news = StoreRevision { era: 0, number: 500 };
     let beat =
         LoadBeat { incarnation: 1, sequence: 1, routes_news: Some(news), ..LoadBeat::default() };
-    rig.feed(Event::beat(from, beat));
+    rig.feed(Event::gossip(from, beat));
     rig.call("/nowhere/", 1000, None);
     assert_eq!(rig.refusals(), [Refusal::Outdated]);
     rig.call("/sheet/1", 1000, None);
--- a/crates/basilbank_forward/tests/forward/suspects.rs
+++ b/crates/basilbank_forward/tests/forward/suspects.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-use basilbank_forward::{effect::Target, event::Life, prelude::*};
+use basilbank_forward::{effect::Target, event::Liveness, prelude::*};
 
 use crate::rig::{Rig, held, model, plain, prompt};
 
@@ -28,11 +28,11 @@
         let hold = rig.start();
         if hold.target.instance == instance {
             rig.came(id, hold.number, Outcome::Unreachable);
-            rig.feed(Event::Left(id));
+            rig.feed(Event::CallerLeft(id));
             rig.starts();
             return hold.target.endpoint;
         }
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
 }
 
@@ -41,7 +41,7 @@
     for _ in 0..40 {
         let id = rig.call("/draft/1", 14_000, Some(prompt(500)));
         seen.extend(rig.starts().into_iter().map(|attempt| attempt.target.instance));
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     seen.sort();
     seen.dedup();
@@ -79,13 +79,13 @@
         rig.pass_ms(1000);
         for target in probes(&mut rig) {
             assert_eq!(target.instance, "d1");
-            rig.feed(Event::Probed { endpoint: key, life: Life::Dark });
+            rig.feed(Event::Probed { endpoint: key, liveness: Liveness::Unreachable });
         }
         assert_eq!(hold_targets(&mut rig), ["d2", "d3", "d4"]);
     }
     rig.pass_ms(1000);
     assert_eq!(probes(&mut rig).len(), 1);
-    rig.feed(Event::Probed { endpoint: key, life: Life::Alive });
+    rig.feed(Event::Probed { endpoint: key, liveness: Liveness::Alive });
     assert_eq!(hold_targets(&mut rig), ["d1", "d2", "d3", "d4"]);
     rig.effects.clear();
     rig.pass_ms(5000);
@@ -105,7 +105,7 @@
         for attempt in rig.starts() {
             rig.came(id, attempt.number, Outcome::Unreachable);
         }
-        rig.feed(Event::Left(id));
+        rig.feed(Event::CallerLeft(id));
     }
     assert_eq!(rig.state.suspects.len(), 6);
     rig.beats();
@@ -185,13 +185,13 @@
             let over = outcome != Outcome::Unreachable;
             rig.came(id, attempt, outcome);
             if over {
-                rig.feed(Event::Left(id));
+                rig.feed(Event::CallerLeft(id));
             }
         }
         let answered: Vec<_> =
             self.questions.extract_if(|(to, _), at| *to == n && *at <= now).collect();
         for ((_, endpoint), _) in answered {
-            rig.feed(Event::Probed { endpoint, life: Life::Dark });
+            rig.feed(Event::Probed { endpoint, liveness: Liveness::Unreachable });
         }
         if comes {
             rig.call("/draft/1", 14_000, Some(prompt(500)));
@@ -216,13 +216,13 @@
                 Effect::Probe(target) => {
                     self.questions.insert((n, target.endpoint), now + GIVEN_UP);
                 }
-                Effect::SendBeat { to, beat } => beats.push((to, *beat)),
+                Effect::SendGossip { to, gossip } => beats.push((to, *gossip)),
                 _ => {}
             }
         }
         for (to, beat) in beats {
             for (_, rig) in self.rigs.iter_mut().filter(|(at, _)| to.contains(at)) {
-                rig.feed(Event::beat(from, beat.clone()));
+                rig.feed(Event::gossip(from, beat.clone()));
             }
         }
     }
--- a/crates/basilbank_forward/tests/forward/watchers.rs
+++ b/crates/basilbank_forward/tests/forward/watchers.rs
@@ -27,7 +27,7 @@
 fn say(rig: &mut Rig, own: u8, fleet: u8, sequence: u64, watching: impl Fn(u8) -> bool) {
     for n in (0..fleet).filter(|n| *n != own) {
         let beat = LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() };
-        rig.feed(Event::beat(address(n), LoadBeat { watching: watching(n), ..beat }));
+        rig.feed(Event::gossip(address(n), LoadBeat { watching: watching(n), ..beat }));
     }
 }
 
@@ -62,7 +62,7 @@
         for at in &watchers {
             let beat =
                 LoadBeat { incarnation: 1, sequence: 2, leaving: true, ..LoadBeat::default() };
-            rig.feed(Event::beat(address(*at), beat.with_loads([load])));
+            rig.feed(Event::gossip(address(*at), beat.with_loads([load])));
         }
         rig.state.watches()
     });
@@ -112,7 +112,7 @@
     let (_, mut other) = follower(|_| true);
     let before = other.state.rests().doubts;
     let beat = LoadBeat { incarnation: 1, sequence: 2, ..LoadBeat::default() };
-    other.feed(Event::beat(address(at), beat));
+    other.feed(Event::gossip(address(at), beat));
     assert_eq!(other.state.rests().doubts, before + 1);
 }
 
@@ -127,7 +127,7 @@
     let told = Some(StoreRevision { era: 0, number: 40 });
     let beat = LoadBeat { incarnation: 1, sequence: 2, watching: true, ..LoadBeat::default() };
     let from = address((n + 1) % FLEET);
-    rig.feed(Event::beat(from, LoadBeat { endpoints_news: told, ..beat }));
+    rig.feed(Event::gossip(from, LoadBeat { endpoints_news: told, ..beat }));
     assert!(rig.state.behind(Topic::Endpoints));
     rig.set_revision(39);
     rig.beats();
--- a/crates/basilbank_gateway/src/calls.rs
+++ b/crates/basilbank_gateway/src/calls.rs
@@ -112,9 +112,11 @@
     let request = (dialect.request)(&original.head, &original.body, &attempt, last.as_deref());
     let alive = || (dialect.alive)(&attempt.target.instance);
     let answer = match attempt.op {
-        Op::Hold { .. } => router.links.call(&attempt.target, request, attempt.limit).await,
+        Op::Hold { .. } => {
+            router.links.call(&attempt.target, request, attempt.answer_timeout).await
+        }
         Op::Plain | Op::Stream { .. } | Op::Prefill | Op::Decode { .. } => {
-            let (limit, longest) = (attempt.limit, attempt.remaining);
+            let (limit, longest) = (attempt.answer_timeout, attempt.remaining);
             router.links.call_patiently(&attempt.target, request, limit, longest, alive).await
         }
     };
@@ -140,7 +142,7 @@
                 body,
                 link,
                 kept,
-                stall: attempt.stall,
+                stall: attempt.stall_timeout,
                 target: attempt.target,
             };
             let parked = Some(Parked::Stream(Box::new(stream)));
@@ -185,7 +187,7 @@
     body: Incoming,
     link: Link,
 ) -> Came {
-    let Some(bytes) = read(body, OWN, attempt.limit).await else {
+    let Some(bytes) = read(body, OWN, attempt.answer_timeout).await else {
         return Came::bare(Outcome::Broken(Damage::CutOff));
     };
     if let Some(kept) = kept(head) {
@@ -203,7 +205,7 @@
     link: Link,
 ) -> Came {
     // A body that breaks off must not look whole: it is read to its end before it is passed on.
-    let Some(bytes) = read(body, WHOLE, attempt.limit).await else {
+    let Some(bytes) = read(body, WHOLE, attempt.answer_timeout).await else {
         return Came::bare(Outcome::Broken(Damage::CutOff));
     };
     if let Some(kept) = kept(&head) {
--- a/crates/basilbank_gateway/src/links.rs
+++ b/crates/basilbank_gateway/src/links.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use basilbank_forward::{effect::Target, event::Life, prelude::*};
+use basilbank_forward::{effect::Target, event::Liveness, prelude::*};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Response, body::Incoming, client::conn::http1};
@@ -158,14 +158,14 @@
 
     /// Whether the endpoint answers over a new connection, whatever it says: a kept one may have gone
     /// silent with what was at its other end.
-    pub async fn probe(&self, target: &Target, request: OutRequest) -> Life {
+    pub async fn probe(&self, target: &Target, request: OutRequest) -> Liveness {
         let answer = async {
             let mut link = Link::connect(target.addr, ALIVE).await?;
             link.send(request, ALIVE).await.map_err(|(error, _)| error)
         };
         match answer.await {
-            Ok(_) => Life::Alive,
-            Err(_) => Life::Dark,
+            Ok(_) => Liveness::Alive,
+            Err(_) => Liveness::Unreachable,
         }
     }
 
--- a/crates/basilbank_gateway/src/metrics.rs
+++ b/crates/basilbank_gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::atomic::AtomicU64, time::Duration};
 
-use basilbank_forward::{event::Life, prelude::*};
+use basilbank_forward::{event::Liveness, prelude::*};
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
     metrics::{counter::Counter, family::Family, gauge::Gauge, histogram::Histogram},
@@ -147,10 +147,10 @@
     }
 
     /// A dark endpoint was asked whether it lives.
-    pub fn probed(&self, life: Life) {
+    pub fn probed(&self, life: Liveness) {
         let answer = match life {
-            Life::Alive => "alive",
-            Life::Dark => "dark",
+            Liveness::Alive => "alive",
+            Liveness::Unreachable => "dark",
         };
         count(&self.probes, answer);
     }
@@ -183,19 +183,19 @@
     }
 
     /// Counts what a line of the log tells.
-    pub fn measured(&self, measure: Measure) {
+    pub fn measured(&self, measure: Measurement) {
         match measure {
-            Measure::Attempt { outcome, took } => {
+            Measurement::Attempt { outcome, duration } => {
                 count(&self.outcomes, outcome);
-                self.attempts.observe(took.as_secs_f64());
+                self.attempts.observe(duration.as_secs_f64());
             }
-            Measure::Request { outcome, took } => {
+            Measurement::Request { outcome, duration } => {
                 count(&self.ended, outcome);
-                self.requests.observe(took.as_secs_f64());
+                self.requests.observe(duration.as_secs_f64());
             }
-            Measure::Quarantined => drop(self.quarantined.inc()),
-            Measure::Permit => drop(self.permits.inc()),
-            Measure::Retry(retry) => count(&self.retried, retry.as_str()),
+            Measurement::Quarantined => drop(self.quarantined.inc()),
+            Measurement::Permit => drop(self.permits.inc()),
+            Measurement::Retry(retry) => count(&self.retried, retry.as_str()),
         }
     }
 
--- a/crates/basilbank_gateway/src/peers.rs
+++ b/crates/basilbank_gateway/src/peers.rs
@@ -23,7 +23,7 @@
             continue;
         };
         match LoadBeat::decode(&buffer[..length]) {
-            Ok(beat) => router.dispatch(Event::beat(from, beat)),
+            Ok(beat) => router.dispatch(Event::gossip(from, beat)),
             Err(error) => {
                 log::warn!("{}", Line::new("bad_datagram").with("from", from).with("error", error));
             }
--- a/crates/basilbank_gateway/src/reader.rs
+++ b/crates/basilbank_gateway/src/reader.rs
@@ -143,7 +143,7 @@
             }
             ReadEffect::Lost => {}
             ReadEffect::Disproved(revision) => {
-                self.router.dispatch(Event::Disproved { topic: self.topic, revision });
+                self.router.dispatch(Event::RevisionNotFound { topic: self.topic, revision });
             }
             ReadEffect::Note(note) => self.router.log(&note),
         }
@@ -195,12 +195,16 @@
         let Reading { at: read, table, listed, gone, .. } = reading;
         self.outrun = table.is_none() && (self.outrun || !findings.is_empty());
         self.router.dispatch(match self.topic {
-            Topic::Routes => Event::Routes { read, table: table.map(Arc::new) },
-            Topic::Endpoints if open.is_page => Event::Endpoints { read, list: listed },
-            Topic::Endpoints => Event::Changed { read, listed, gone },
+            Topic::Routes => Event::RoutesRead { revisions: read, table: table.map(Arc::new) },
+            Topic::Endpoints if open.is_page => {
+                Event::EndpointsRead { revisions: read, list: listed }
+            }
+            Topic::Endpoints => {
+                Event::EndpointsChanged { revisions: read, updated: listed, removed: gone }
+            }
         });
         if self.topic == Topic::Routes && !self.outrun {
-            self.router.dispatch(Event::Confirmed { asked: open.asked });
+            self.router.dispatch(Event::RoutesConfirmed { asked_at: open.asked });
         }
         came
     }
--- a/crates/basilbank_gateway/src/request.rs
+++ b/crates/basilbank_gateway/src/request.rs
@@ -155,7 +155,7 @@
             }
         }
         // Whatever is left of the request is stopped: the caller has its answer, or is gone.
-        self.router.dispatch(Event::Left(self.id));
+        self.router.dispatch(Event::CallerLeft(self.id));
         self.router.unregister(self.id);
     }
 
@@ -212,7 +212,7 @@
             }
         };
         let finished = outcome == Outcome::Finished;
-        let event = Event::Came { request: self.id, attempt: number, outcome };
+        let event = Event::AttemptOutcome { request: self.id, attempt: number, outcome };
         self.router.dispatch(event);
         if finished {
             self.finish();
--- a/crates/basilbank_gateway/src/router.rs
+++ b/crates/basilbank_gateway/src/router.rs
@@ -213,31 +213,31 @@
             }
             Effect::Stop { request, attempt } => self.step(request, Step::Stop(attempt)),
             Effect::Deliver { request, attempt } => self.step(request, Step::Deliver(attempt)),
-            Effect::Refuse { request, refusal, after } => {
+            Effect::Refuse { request, refusal, retry_after } => {
                 self.metrics.refused(refusal);
-                self.step(request, Step::Refuse(refusal, after));
+                self.step(request, Step::Refuse(refusal, retry_after));
             }
-            Effect::Cut { request, refusal } => {
+            Effect::AbortStream { request, refusal } => {
                 self.metrics.refused(refusal);
                 self.step(request, Step::Cut);
             }
-            Effect::Free { target, handle } => {
+            Effect::FreeKv { target, handle } => {
                 let request = (self.dialect.free)(&handle);
                 self.give_back("free", target, request);
             }
-            Effect::Drop { target, hold } => {
+            Effect::ReleaseHold { target, hold } => {
                 let request = (self.dialect.drop_hold)(&hold);
                 self.give_back("drop_hold", target, request);
             }
             Effect::Probe(target) => self.probe(target),
             Effect::Order { target, stage, fence } => self.order(target, stage, fence),
-            Effect::SendBeat { to, beat } => {
+            Effect::SendGossip { to, gossip } => {
                 if let Some(socket) = self.socket.get() {
-                    peers::say(socket, &to, &beat);
+                    peers::say(socket, &to, &gossip);
                 }
             }
-            Effect::Forget(endpoint) => self.links.forget(endpoint),
-            Effect::Note(note) => self.log(&note),
+            Effect::CloseConnections(endpoint) => self.links.forget(endpoint),
+            Effect::Log(note) => self.log(&note),
         }
     }
 
@@ -268,7 +268,7 @@
             let request = (router.dialect.alive)(&target.instance);
             let life = router.links.probe(&target, request).await;
             router.metrics.probed(life);
-            router.dispatch(Event::Probed { endpoint: target.endpoint, life });
+            router.dispatch(Event::Probed { endpoint: target.endpoint, liveness: life });
         });
     }
 
@@ -289,13 +289,14 @@
                 .with("fence", fence)
                 .with("answer", format!("{answer:?}"));
             log::info!("{line}");
-            router.dispatch(Event::Ordered { endpoint: target.endpoint, accepted });
+            router
+                .dispatch(Event::OrderAnswered { endpoint: target.endpoint, acceptance: accepted });
         });
     }
 
     /// Logs a line, and counts what it measures.
-    pub fn log(&self, note: &Note) {
-        if let Some(measure) = note.measure {
+    pub fn log(&self, note: &LogLine) {
+        if let Some(measure) = note.measurement {
             self.metrics.measured(measure);
         }
         if log::log_enabled!(log::Level::Info) {
--- a/crates/basilbank_gateway/tests/reader/rig.rs
+++ b/crates/basilbank_gateway/tests/reader/rig.rs
@@ -95,7 +95,7 @@
                 Topic::Routes => beat.routes_news = told,
                 Topic::Endpoints => beat.endpoints_news = told,
             }
-            self.router.dispatch(Event::beat(from, beat));
+            self.router.dispatch(Event::gossip(from, beat));
             if end <= Instant::now() {
                 return;
             }
