--- a/crates/basilbank/benches/callers.rs
+++ b/crates/basilbank/benches/callers.rs
@@ -69,7 +69,7 @@
         let (request, entry) = (RequestId(1), EntryId::of("writer"));
         self.callers.answer(caller, Answer::Accepted { request, entry });
         let (endpoint, stream) = (EndpointId::of("decode-1"), "s1".to_owned());
-        self.callers.answer(caller, Answer::Located { endpoint, stream, base: 0 });
+        self.callers.answer(caller, Answer::Located { endpoint, stream, base_offset: 0 });
         (client, caller)
     }
 }
--- a/crates/basilbank/src/callers/draft.rs
+++ b/crates/basilbank/src/callers/draft.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 
 use basilbank_core::{
-    event::{Call, Draft, ResumePoint, Work},
+    event::{Call, CallKind, Completion, ResumePoint},
     ids::EntryId,
     reason::Refusal,
 };
@@ -39,17 +39,17 @@
         let (idempotency, repeatable) = (idempotency(headers)?, repeatable(headers)?);
         let form = Form::parse(shape, body)?;
         let resume = resume_point(&self.cursors, headers, &form)?;
-        let draft = Draft {
+        let draft = Completion {
             model: form.model.clone(),
-            tokens: count_tokens(&form.prompt),
-            blocks: block_hashes(&form.prompt),
+            prompt_tokens: count_tokens(&form.prompt),
+            block_hashes: block_hashes(&form.prompt),
             max_tokens: form.max_tokens,
             resume,
         };
         let envelope = Envelope::new(shape, &form.model, self.unix_seconds());
         let held = HeldDraft { prompt: form.prompt, given: Mutex::default() };
         let (caller, replies) = self.callers.open_draft(held, self.config.limits.backlog);
-        let call = Call { caller, key, idempotency, repeatable, work: Work::Draft(draft) };
+        let call = Call { caller, key, idempotency, repeatable, kind: CallKind::Completion(draft) };
         let open = OpenCall::begin(call, replies, &self.events, &self.callers)?;
         match form.mode {
             Mode::Whole => whole::answer(open, &envelope).await,
--- a/crates/basilbank/src/callers/plain.rs
+++ b/crates/basilbank/src/callers/plain.rs
@@ -2,7 +2,7 @@
 
 use basilbank_core::{
     effect::Answer,
-    event::{Call, Plain, Work},
+    event::{Call, CallKind, PlainCall},
 };
 use bytes::Bytes;
 use hyper::{
@@ -40,14 +40,14 @@
         let held =
             HeldPlain { method: method.to_string(), target, headers: to_service(headers), body };
         let (caller, replies) = self.callers.open_plain(held);
-        let work = Work::Plain(Plain { method: method.to_string(), path });
-        let call = Call { caller, key, idempotency, repeatable, work };
+        let work = CallKind::Plain(PlainCall { method: method.to_string(), path });
+        let call = Call { caller, key, idempotency, repeatable, kind: work };
         let mut open = OpenCall::begin(call, replies, &self.events, &self.callers)?;
         loop {
             let error = match open.next().await {
                 Reply::Plain(answer) => return respond(&open, method, answer),
-                Reply::Core(Answer::Refused { refusal, after }) => {
-                    ApiError::refused(refusal, after)
+                Reply::Core(Answer::Refused { refusal, retry_after }) => {
+                    ApiError::refused(refusal, retry_after)
                 }
                 Reply::Core(Answer::Unknown | Answer::Done { .. }) => ApiError::unknown(),
                 Reply::Core(_) => continue,
--- a/crates/basilbank/src/callers/stream.rs
+++ b/crates/basilbank/src/callers/stream.rs
@@ -104,18 +104,30 @@
                 self.request = request;
                 self.entry = entry;
             }
-            Reply::Core(Answer::Located { endpoint, stream, base }) => {
-                self.location = Some(Location { endpoint, stream, base });
-                if 0 < base {
+            Reply::Core(Answer::Located { endpoint, stream, base_offset }) => {
+                self.location = Some(Location { endpoint, stream, base: base_offset });
+                if 0 < base_offset {
                     self.position = Position::Later;
                 }
             }
             Reply::Core(Answer::Tokens { offset, texts }) => self.push_tokens(offset, &texts),
-            Reply::Core(Answer::Done { reason, prompt, cached, generated }) => {
-                self.push_end(&reason, Usage { prompt, cached, generated });
+            Reply::Core(Answer::Done {
+                reason,
+                prompt_tokens,
+                cached_tokens,
+                generated_tokens,
+            }) => {
+                self.push_end(
+                    &reason,
+                    Usage {
+                        prompt: prompt_tokens,
+                        cached: cached_tokens,
+                        generated: generated_tokens,
+                    },
+                );
             }
-            Reply::Core(Answer::Refused { refusal, after }) => {
-                return Err(ApiError::refused(refusal, after));
+            Reply::Core(Answer::Refused { refusal, retry_after }) => {
+                return Err(ApiError::refused(refusal, retry_after));
             }
             Reply::Core(Answer::Plain { .. } | Answer::Unknown) | Reply::Plain(_) => {
                 return Err(ApiError::unknown());
--- a/crates/basilbank/src/callers/whole.rs
+++ b/crates/basilbank/src/callers/whole.rs
@@ -32,11 +32,23 @@
             Reply::Core(Answer::Tokens { texts, .. }) => {
                 text.extend(texts.iter().map(String::as_str));
             }
-            Reply::Core(Answer::Done { reason, prompt, cached, generated }) => {
-                break (reason, Usage { prompt, cached, generated });
+            Reply::Core(Answer::Done {
+                reason,
+                prompt_tokens,
+                cached_tokens,
+                generated_tokens,
+            }) => {
+                break (
+                    reason,
+                    Usage {
+                        prompt: prompt_tokens,
+                        cached: cached_tokens,
+                        generated: generated_tokens,
+                    },
+                );
             }
-            Reply::Core(Answer::Refused { refusal, after }) => {
-                return Err(open.identify(ApiError::refused(refusal, after)));
+            Reply::Core(Answer::Refused { refusal, retry_after }) => {
+                return Err(open.identify(ApiError::refused(refusal, retry_after)));
             }
             Reply::Core(Answer::Plain { .. } | Answer::Unknown) | Reply::Plain(_) => {
                 return Err(open.identify(ApiError::unknown()));
--- a/crates/basilbank/src/engine.rs
+++ b/crates/basilbank/src/engine.rs
@@ -20,7 +20,7 @@
 };
 
 use basilbank_core::{
-    effect::{DraftCall, EngineCall},
+    effect::{CompletionCall, EngineCall},
     event::{EngineEvent, EngineReport, Event, Failure},
     ids::{AttemptKey, EndpointId},
     state::Local,
@@ -164,11 +164,11 @@
     #[must_use]
     pub fn call(&self, call: EngineCall) -> Option<EngineEvent> {
         match call {
-            EngineCall::Prefill(draft) => {
-                let attempt = draft.attempt;
-                self.begin(attempt, draft.number, Phase::Prefill, move |w| w.prefill(&draft))
+            EngineCall::Prefill(call) => {
+                let attempt = call.attempt;
+                self.begin(attempt, call.attempt_number, Phase::Prefill, move |w| w.prefill(&call))
             }
-            EngineCall::Decode { draft, source, handle } => self.decode(draft, source, handle),
+            EngineCall::Decode { call, source, handle } => self.decode(call, source, handle),
             EngineCall::Resume { attempt, endpoint, stream, offset, .. } => {
                 let resume = draft::ResumeCall { attempt, endpoint, stream, offset };
                 self.begin(attempt, 0, Phase::Stream, move |w| w.resume(&resume))
@@ -177,8 +177,8 @@
                 let call = plain::PlainCall { attempt, caller, request, endpoint, timeout };
                 self.begin(attempt, 0, Phase::Plain, move |w| w.plain(&call))
             }
-            EngineCall::Cancel { attempt, endpoint, request, held } => {
-                self.worker.cancel(attempt, endpoint, request, held);
+            EngineCall::Cancel { attempt, endpoint, request, resource } => {
+                self.worker.cancel(attempt, endpoint, request, resource);
                 None
             }
             EngineCall::Reap { endpoint, stream, vm, incarnation } => {
@@ -187,7 +187,7 @@
             }
             EngineCall::Order { endpoint, fence, model, version, adapter, role } => {
                 let order = control::Order { fence, model, version, adapter, role };
-                let silent = EngineEvent::Report { endpoint, report: EngineReport::Silent };
+                let silent = EngineEvent::Report { endpoint, report: EngineReport::NoResponse };
                 let worker = Arc::clone(&self.worker);
                 let job = move || worker.order(endpoint, &order);
                 self.worker.controls.run(job).is_err().then_some(silent)
@@ -211,12 +211,17 @@
         }
     }
 
-    fn decode(&self, draft: DraftCall, source: EndpointId, handle: String) -> Option<EngineEvent> {
+    fn decode(
+        &self,
+        draft: CompletionCall,
+        source: EndpointId,
+        handle: String,
+    ) -> Option<EngineEvent> {
         let attempt = draft.attempt;
         let Some(source) = self.worker.published.address(source) else {
             return Some(EngineEvent::Failed { attempt, failure: Failure::Evicted });
         };
-        let number = draft.number;
+        let number = draft.attempt_number;
         self.begin(attempt, number, Phase::Import, move |w| w.decode(&draft, &source, &handle))
     }
 
@@ -244,7 +249,7 @@
     ) -> Option<EngineEvent> {
         let worker = Arc::clone(&self.worker);
         let started = self.reports.run(move || job(&worker));
-        let silent = EngineEvent::Report { endpoint, report: EngineReport::Silent };
+        let silent = EngineEvent::Report { endpoint, report: EngineReport::NoResponse };
         started.is_err().then_some(silent)
     }
 }
--- a/crates/basilbank/src/engine/control.rs
+++ b/crates/basilbank/src/engine/control.rs
@@ -81,7 +81,7 @@
 
     /// States what an endpoint shall serve.
     pub fn order(&self, endpoint: EndpointId, order: &Order) {
-        let report = self.send_order(endpoint, order).unwrap_or(EngineReport::Silent);
+        let report = self.send_order(endpoint, order).unwrap_or(EngineReport::NoResponse);
         self.report(endpoint, report);
     }
 
@@ -98,8 +98,8 @@
         let mut response = request.content_type("application/json").send(body.ok()?).ok()?;
         let fence = ordered(&mut response)?.fence;
         match response.status().as_u16() {
-            200 => Some(EngineReport::Ordered { fence }),
-            409 => Some(EngineReport::Fenced { fence }),
+            200 => Some(EngineReport::OrderAccepted { fence }),
+            409 => Some(EngineReport::OrderFenced { fence }),
             _ => None,
         }
     }
--- a/crates/basilbank/src/engine/draft.rs
+++ b/crates/basilbank/src/engine/draft.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use basilbank_core::{
-    effect::DraftCall,
+    effect::CompletionCall,
     event::{EngineEvent, Failure},
     ids::{AttemptKey, EndpointId},
 };
@@ -44,7 +44,7 @@
 
 impl Worker {
     /// Runs a prefill to its end.
-    pub fn prefill(&self, call: &DraftCall) {
+    pub fn prefill(&self, call: &CompletionCall) {
         if !self.attempts.is_live(call.attempt) {
             return;
         }
@@ -61,14 +61,14 @@
         self.send(EngineEvent::Prefilled {
             attempt: call.attempt,
             handle: done.handle,
-            tokens: done.tokens,
-            cached: done.cached,
+            prompt_tokens: done.tokens,
+            cached_tokens: done.cached,
             bytes: done.bytes,
-            spent: Duration::from_millis(done.spent_ms),
+            prefill_time: Duration::from_millis(done.spent_ms),
         });
     }
 
-    fn run_prefill(&self, call: &DraftCall) -> Result<Prefilled, Failure> {
+    fn run_prefill(&self, call: &CompletionCall) -> Result<Prefilled, Failure> {
         let draft = self.callers.draft(call.caller).ok_or(Failure::Unreachable)?;
         let names = self.published.names();
         let model = names.model_at(call.endpoint).ok_or(Failure::Unreachable)?.name.as_str();
@@ -81,15 +81,15 @@
             return Err(NotRun::failure(&text));
         }
         let done: Prefilled = serde_json::from_slice(&text).map_err(|_| Failure::Broken)?;
-        let own = done.request == call.request.to_string() && done.attempt == call.number;
+        let own = done.request == call.request.to_string() && done.attempt == call.attempt_number;
         if own { Ok(done) } else { Err(Failure::Broken) }
     }
 
-    fn prefill_body(&self, call: &DraftCall, model: &str, draft: &HeldDraft) -> Vec<u8> {
+    fn prefill_body(&self, call: &CompletionCall, model: &str, draft: &HeldDraft) -> Vec<u8> {
         let given = lock(&draft.given);
         encode(&PrefillBody {
             request: call.request.to_string(),
-            attempt: call.number,
+            attempt: call.attempt_number,
             owner: &self.config.owner,
             model,
             prompt: &draft.prompt,
@@ -100,24 +100,29 @@
     }
 
     /// Imports a KV cache and reads its stream to the end.
-    pub fn decode(&self, call: &DraftCall, source: &Arc<str>, handle: &str) {
+    pub fn decode(&self, call: &CompletionCall, source: &Arc<str>, handle: &str) {
         if !self.attempts.is_live(call.attempt) {
             return;
         }
         let result = self.start_decode(call, source, handle);
-        let expected = Expected { request: call.request.to_string(), number: call.number };
+        let expected = Expected { request: call.request.to_string(), number: call.attempt_number };
         match result {
             Ok(body) => self.read(call.attempt, call.endpoint, Some(&expected), body),
             Err(failure) => self.fail(call.attempt, failure),
         }
     }
 
-    fn start_decode(&self, call: &DraftCall, source: &str, handle: &str) -> Result<Body, Failure> {
+    fn start_decode(
+        &self,
+        call: &CompletionCall,
+        source: &str,
+        handle: &str,
+    ) -> Result<Body, Failure> {
         let names = self.published.names();
         let model = names.model_at(call.endpoint).ok_or(Failure::Unreachable)?.name.as_str();
         let body = encode(&DecodeBody {
             request: call.request.to_string(),
-            attempt: call.number,
+            attempt: call.attempt_number,
             owner: &self.config.owner,
             model,
             source,
@@ -208,11 +213,11 @@
             return false;
         }
         if line.taken {
-            self.fail(attempt, Failure::Taken);
+            self.fail(attempt, Failure::TakenOver);
             return false;
         }
         if let Some(offset) = line.offset {
-            self.send(EngineEvent::Token { attempt, offset, texts: line.texts });
+            self.send(EngineEvent::Tokens { attempt, offset, texts: line.texts });
             return true;
         }
         let (Some(stream), Some(expected)) = (line.stream, expected) else { return true };
@@ -231,7 +236,7 @@
     /// Posts to a draft's endpoint. No piece of the answer may take longer than `silence`.
     fn post(
         &self,
-        call: &DraftCall,
+        call: &CompletionCall,
         path: &str,
         body: Vec<u8>,
         silence: Duration,
--- a/crates/basilbank/src/engine/report.rs
+++ b/crates/basilbank/src/engine/report.rs
@@ -29,7 +29,7 @@
         let Some(after) = self.open_cursor(endpoint) else { return };
         let Some(load) = self.get::<Load>(endpoint, "/load") else {
             self.close_cursor(endpoint, after);
-            return self.report(endpoint, EngineReport::Silent);
+            return self.report(endpoint, EngineReport::NoResponse);
         };
         self.report(endpoint, load_report(load));
         let cache = self.get::<Cache>(endpoint, &format!("/cache?after={after}"));
@@ -46,7 +46,7 @@
             Some(list) => {
                 EngineReport::Streams(list.streams.into_iter().filter_map(stream_info).collect())
             }
-            None => EngineReport::Silent,
+            None => EngineReport::NoResponse,
         };
         self.report(endpoint, report);
     }
@@ -116,7 +116,7 @@
         vm: VmId(hex(&row.vm)?),
         request: hex(&row.request)?,
         stream: row.stream,
-        kv: row.kv,
+        is_kv_cache: row.kv,
         incarnation: row.incarnation,
         idle: Duration::from_millis(row.idle_ms),
     })
--- a/crates/basilbank/src/history.rs
+++ b/crates/basilbank/src/history.rs
@@ -89,8 +89,8 @@
         | Progress::Wasted { request, .. }
         | Progress::Settled { request, .. } => Some(*request),
         Progress::Refused { request, .. } => *request,
-        Progress::Note { pairs, .. } => {
-            let (_, id) = pairs.iter().find(|(key, _)| *key == "request")?;
+        Progress::Note { fields, .. } => {
+            let (_, id) = fields.iter().find(|(key, _)| *key == "request")?;
             u64::from_str_radix(id, 16).ok().map(RequestId)
         }
     }
--- a/crates/basilbank/src/logs.rs
+++ b/crates/basilbank/src/logs.rs
@@ -151,16 +151,24 @@
             .with_ms("prefill_ms", *prefill)
             .with("tokens", tokens),
         Progress::Settled { .. } => settled(progress, names),
-        Progress::Note { name, pairs } => {
-            pairs.iter().fold(Line::new(name), |line, (key, value)| line.with(key, value))
+        Progress::Note { name, fields } => {
+            fields.iter().fold(Line::new(name), |line, (key, value)| line.with(key, value))
         }
     }
 }
 
 fn settled(progress: &Progress, names: &Names) -> Line {
     let line = Line::new("settled");
-    let Progress::Settled { request, team, entry, outcome, took, prompt, generated, tbt } =
-        progress
+    let Progress::Settled {
+        request,
+        team,
+        entry,
+        outcome,
+        duration,
+        prompt_tokens,
+        generated_tokens,
+        tbt,
+    } = progress
     else {
         return line;
     };
@@ -168,8 +176,8 @@
         .with("team", names.team(*team))
         .with("entry", names.entry(*entry))
         .with("outcome", outcome.as_str())
-        .with_ms("took_ms", *took)
-        .with("prompt", prompt)
-        .with("generated", generated)
+        .with_ms("took_ms", *duration)
+        .with("prompt", prompt_tokens)
+        .with("generated", generated_tokens)
         .with_ms("tbt_ms", *tbt)
 }
--- a/crates/basilbank/src/metrics.rs
+++ b/crates/basilbank/src/metrics.rs
@@ -145,7 +145,15 @@
     }
 
     fn settled(&self, progress: &Progress, names: &Names) {
-        let Progress::Settled { team, entry, outcome, prompt, generated, tbt, .. } = progress
+        let Progress::Settled {
+            team,
+            entry,
+            outcome,
+            prompt_tokens: prompt,
+            generated_tokens: generated,
+            tbt,
+            ..
+        } = progress
         else {
             return;
         };
--- a/crates/basilbank/src/platform.rs
+++ b/crates/basilbank/src/platform.rs
@@ -160,7 +160,7 @@
     fn watch(&self, after: u64) {
         let event = match self.read_changes(after) {
             Some(changes) => PlatformEvent::Documents {
-                after: changes.after,
+                base_revision: changes.after,
                 revision: changes.revision,
                 documents: changes.documents.into_iter().map(Document::from).collect(),
             },
--- a/crates/basilbank/tests/callers_http/cursors.rs
+++ b/crates/basilbank/tests/callers_http/cursors.rs
@@ -35,7 +35,7 @@
 fn resume(edge: &Edge, client: &mut Client, cursor: &str) -> (CallerId, ResumePoint) {
     client.post("/v1/chat/completions", &format!("Last-Event-ID: {cursor}\r\n"), STREAM);
     let call = edge.arrived();
-    let Work::Draft(draft) = call.work else { panic!("expected a draft") };
+    let CallKind::Completion(draft) = call.kind else { panic!("expected a draft") };
     (call.caller, draft.resume.unwrap())
 }
 
--- a/crates/basilbank/tests/callers_http/drafts.rs
+++ b/crates/basilbank/tests/callers_http/drafts.rs
@@ -19,10 +19,10 @@
     let mut client = edge.client();
     client.post("/v1/chat/completions", "Idempotency-Key: k-1\r\n", &body);
     let call = edge.arrived();
-    let Work::Draft(draft) = &call.work else { panic!("expected a draft, got {call:?}") };
+    let CallKind::Completion(draft) = &call.kind else { panic!("expected a draft, got {call:?}") };
     assert_eq!(edge.callers.draft(call.caller).unwrap().prompt, prompt);
     assert_eq!((draft.max_tokens, draft.resume.as_ref()), (max_tokens, None));
-    assert_eq!(draft.tokens as usize, prompt.split_whitespace().count());
+    assert_eq!(draft.prompt_tokens as usize, prompt.split_whitespace().count());
     assert_eq!((call.idempotency.as_deref(), call.repeatable), (Some("k-1"), None));
     assert_eq!(call.key, <KeyHash>::from(Sha256::digest(b"key-a")));
 }
--- a/crates/basilbank/tests/callers_http/edge.rs
+++ b/crates/basilbank/tests/callers_http/edge.rs
@@ -118,7 +118,7 @@
 
     pub fn locate(&self, caller: CallerId, stream: &str, base: i64) {
         let (endpoint, stream) = (EndpointId::of("decode-1"), stream.to_owned());
-        self.say(caller, Answer::Located { endpoint, stream, base });
+        self.say(caller, Answer::Located { endpoint, stream, base_offset: base });
     }
 
     pub fn token(&self, caller: CallerId, offset: u32, text: &str) {
@@ -127,6 +127,14 @@
 
     pub fn done(&self, caller: CallerId, generated: u32) {
         let reason = "stop".to_owned();
-        self.say(caller, Answer::Done { reason, prompt: 7, cached: 3, generated });
+        self.say(
+            caller,
+            Answer::Done {
+                reason,
+                prompt_tokens: 7,
+                cached_tokens: 3,
+                generated_tokens: generated,
+            },
+        );
     }
 }
--- a/crates/basilbank/tests/callers_http/leaving.rs
+++ b/crates/basilbank/tests/callers_http/leaving.rs
@@ -66,7 +66,10 @@
     let mut client = edge.client();
     client.post("/desk/other", "", "");
     let call = edge.arrived();
-    assert!(matches!(&call.work, Work::Plain(plain) if plain.path == "/desk/other"), "{call:?}");
+    assert!(
+        matches!(&call.kind, CallKind::Plain(plain) if plain.path == "/desk/other"),
+        "{call:?}"
+    );
 }
 
 /// Symptom: a connection and its request stay open for ever. Sequence: a stream has begun; the caller
--- a/crates/basilbank/tests/callers_http/refusals.rs
+++ b/crates/basilbank/tests/callers_http/refusals.rs
@@ -70,7 +70,7 @@
         client.post("/v1/chat/completions", "", WHOLE);
         let caller = edge.arrived().caller;
         let after = refusal.is_temporary().then_some(Duration::from_secs(1));
-        edge.say(caller, Answer::Refused { refusal, after });
+        edge.say(caller, Answer::Refused { refusal, retry_after: after });
         let (head, json) = client.answer();
         let code = ErrorCode::Refused(refusal);
         assert_eq!(head.status, code.status().as_u16());
--- a/crates/basilbank/tests/callers_http/shutdown.rs
+++ b/crates/basilbank/tests/callers_http/shutdown.rs
@@ -39,7 +39,7 @@
     assert!(idle.is_closed());
     client.post("/v1/chat/completions", "", WHOLE);
     let refused = edge.arrived().caller;
-    edge.say(refused, Answer::Refused { refusal: Refusal::ShuttingDown, after: None });
+    edge.say(refused, Answer::Refused { refusal: Refusal::ShuttingDown, retry_after: None });
     let (head, _) = client.answer();
     assert_eq!((head.status, head.get("connection")), (503, Some("close")));
     assert!(client.is_closed());
--- a/crates/basilbank/tests/callers_http/streams.rs
+++ b/crates/basilbank/tests/callers_http/streams.rs
@@ -43,8 +43,8 @@
     let (edge, mut client) = Edge::open();
     client.post("/v1/completions", "", WITH_USAGE);
     let call = edge.arrived();
-    let Work::Draft(draft) = &call.work else { panic!("expected a draft, got {call:?}") };
-    assert_eq!((draft.model.as_str(), draft.tokens, draft.max_tokens), ("writer", 3, 9));
+    let CallKind::Completion(draft) = &call.kind else { panic!("expected a draft, got {call:?}") };
+    assert_eq!((draft.model.as_str(), draft.prompt_tokens, draft.max_tokens), ("writer", 3, 9));
     assert_eq!(edge.callers.draft(call.caller).unwrap().prompt, "two tall cabinets");
     edge.accept(call.caller);
     let texts = vec!["a".to_owned(), "b".to_owned()];
@@ -66,7 +66,7 @@
     let (edge, mut client) = Edge::open();
     let caller = edge.begin(&mut client, STREAM);
     let after = Some(Duration::from_millis(1200));
-    edge.say(caller, Answer::Refused { refusal: Refusal::WaitedOut, after });
+    edge.say(caller, Answer::Refused { refusal: Refusal::WaitedOut, retry_after: after });
     let (head, body) = client.answer();
     assert_eq!((head.status, head.get("retry-after")), (503, Some("2")));
     assert_eq!((head.get("x-outcome"), head.get("x-request-id")), (Some("not-run"), Some(REQUEST)));
--- a/crates/basilbank/tests/shell/engine_control.rs
+++ b/crates/basilbank/tests/shell/engine_control.rs
@@ -18,7 +18,7 @@
 
 fn cancel(key: u64, endpoint: &str, held: Option<&str>) -> EngineCall {
     let (attempt, endpoint) = (attempt(key), endpoint_id(endpoint));
-    EngineCall::Cancel { attempt, endpoint, request: REQUEST, held: held.map(str::to_owned) }
+    EngineCall::Cancel { attempt, endpoint, request: REQUEST, resource: held.map(str::to_owned) }
 }
 
 const PREFILLED: &str = r#"{"request":"0000000000000abc","attempt":3,"handle":"k7","tokens":7}"#;
@@ -123,10 +123,10 @@
     assert_eq!(rig.seen().line, line);
 }
 
-#[test_case(200, r#"{"fence":8}"#, "Ordered { fence: 8 }"; "taken")]
-#[test_case(409, r#"{"fence":9}"#, "Fenced { fence: 9 }"; "fenced")]
-#[test_case(500, r#"{"fence":8}"#, "Silent"; "failed")]
-#[test_case(200, "{}", "Silent"; "nonsense")]
+#[test_case(200, r#"{"fence":8}"#, "OrderAccepted { fence: 8 }"; "taken")]
+#[test_case(409, r#"{"fence":9}"#, "OrderFenced { fence: 9 }"; "fenced")]
+#[test_case(500, r#"{"fence":8}"#, "NoResponse"; "failed")]
+#[test_case(200, "{}", "NoResponse"; "nonsense")]
 fn an_order_ends_in_a_report(status: u16, body: &str, expected: &str) {
     let rig = Rig::fixed(status, body);
     rig.call(EngineCall::Order {
--- a/crates/basilbank/tests/shell/engine_draft.rs
+++ b/crates/basilbank/tests/shell/engine_draft.rs
@@ -20,11 +20,14 @@
     let body = r#"{"request":"0000000000000abc","attempt":3,"handle":"k1","tokens":7,"cached":2,"bytes":900,"spent_ms":12}"#;
     let rig = Rig::fixed(200, body);
     rig.call(rig.prefill(1));
-    let EngineEvent::Prefilled { handle, tokens, cached, bytes, spent, .. } = rig.next() else {
+    let EngineEvent::Prefilled {
+        handle, prompt_tokens, cached_tokens, bytes, prefill_time, ..
+    } = rig.next()
+    else {
         panic!("no prefill");
     };
-    assert_eq!((handle.as_str(), tokens, cached, bytes), ("k1", 7, 2, 900));
-    assert_eq!(spent.as_millis(), 12);
+    assert_eq!((handle.as_str(), prompt_tokens, cached_tokens, bytes), ("k1", 7, 2, 900));
+    assert_eq!(prefill_time.as_millis(), 12);
     let seen = rig.seen();
     assert_eq!(seen.line, "POST /prefill");
     let sent: serde_json::Value = serde_json::from_str(&seen.body).unwrap();
@@ -92,9 +95,9 @@
     ]);
     rig.call(rig.decode(1));
     assert!(matches!(rig.next(), EngineEvent::Started { stream, .. } if stream == "s1"));
-    assert!(matches!(rig.next(), EngineEvent::Token { offset: 0, texts, .. } if texts == ["oak"]));
+    assert!(matches!(rig.next(), EngineEvent::Tokens { offset: 0, texts, .. } if texts == ["oak"]));
     assert!(
-        matches!(rig.next(), EngineEvent::Token { offset: 1, texts, .. } if texts == [" at", " 40"])
+        matches!(rig.next(), EngineEvent::Tokens { offset: 1, texts, .. } if texts == [" at", " 40"])
     );
     let end = rig.next();
     assert!(matches!(end, EngineEvent::Finished { tokens: 3, reason, .. } if reason == "stop"));
@@ -110,12 +113,12 @@
 /// Symptom: two daemons cut each other off from one stream. Sequence: the caller comes back through
 /// another daemon, which takes its stream over. Cause: that looks like a broken connection.
 #[test_case(&[FIRST, r#"{"offset":0,"texts":["oak"]}"#], Failure::Broken; "broken")]
-#[test_case(&[FIRST, r#"{"offset":0,"texts":["oak"]}"#, r#"{"taken":true}"#], Failure::Taken; "taken over")]
+#[test_case(&[FIRST, r#"{"offset":0,"texts":["oak"]}"#, r#"{"taken":true}"#], Failure::TakenOver; "taken over")]
 fn a_stream_without_its_last_line_has_not_ended(lines: &[&str], expected: Failure) {
     let rig = stream(lines);
     rig.call(rig.decode(1));
     assert!(matches!(rig.next(), EngineEvent::Started { .. }));
-    assert!(matches!(rig.next(), EngineEvent::Token { .. }));
+    assert!(matches!(rig.next(), EngineEvent::Tokens { .. }));
     assert_eq!(rig.failure(), expected);
     assert!(rig.is_quiet());
 }
@@ -154,7 +157,7 @@
     let rig = stream(&[r#"{"offset":4,"texts":["x"]}"#, r#"{"done":"stop","tokens":5}"#]);
     rig.call(resume(1));
     assert!(matches!(rig.next(), EngineEvent::Started { stream, .. } if stream == "s9"));
-    assert!(matches!(rig.next(), EngineEvent::Token { offset: 4, .. }));
+    assert!(matches!(rig.next(), EngineEvent::Tokens { offset: 4, .. }));
     assert!(matches!(rig.next(), EngineEvent::Finished { tokens: 5, .. }));
     assert_eq!(rig.seen().line, format!("GET /streams/s9?from=4&{OWNER}"));
 }
--- a/crates/basilbank/tests/shell/engine_plain.rs
+++ b/crates/basilbank/tests/shell/engine_plain.rs
@@ -138,7 +138,7 @@
     rig.call(rig.plain(1, held("GET", "")));
     assert_eq!(rig.seen().line, "GET /desk/stock?sku=7");
     let (attempt, endpoint) = (attempt(1), endpoint_id("f1"));
-    rig.call(EngineCall::Cancel { attempt, endpoint, request: REQUEST, held: None });
+    rig.call(EngineCall::Cancel { attempt, endpoint, request: REQUEST, resource: None });
     release.send(()).unwrap();
     let Rig { engine, callers, .. } = rig;
     drop(engine);
--- a/crates/basilbank/tests/shell/engine_report.rs
+++ b/crates/basilbank/tests/shell/engine_report.rs
@@ -42,9 +42,9 @@
 fn an_endpoint_that_does_not_report_is_silent() {
     let rig = Rig::fixed(500, "{}");
     rig.call(EngineCall::ReadLoad { endpoint: endpoint_id("p1") });
-    assert_eq!(report(&rig), "Silent");
+    assert_eq!(report(&rig), "NoResponse");
     rig.call(EngineCall::ListStreams { endpoint: endpoint_id("p1") });
-    assert_eq!(report(&rig), "Silent");
+    assert_eq!(report(&rig), "NoResponse");
 }
 
 /// A row that can't be read is left out: better not to reap a stream than to reap another's.
--- a/crates/basilbank/tests/shell/observe.rs
+++ b/crates/basilbank/tests/shell/observe.rs
@@ -44,9 +44,9 @@
         team: TeamId::of("fitters"),
         entry: EntryId::of("quotes"),
         outcome,
-        took: Duration::from_millis(1500),
-        prompt: 30,
-        generated: 4,
+        duration: Duration::from_millis(1500),
+        prompt_tokens: 30,
+        generated_tokens: 4,
         tbt: Duration::from_millis(20),
     }
 }
--- a/crates/basilbank/tests/shell/platform.rs
+++ b/crates/basilbank/tests/shell/platform.rs
@@ -47,11 +47,11 @@
     r#"{"after":12,"revision":13,"documents":[{"key":"catalogue/old","text":null,"revision":13}]}"#;
 
 fn text(event: &PlatformEvent) -> String {
-    let PlatformEvent::Documents { after, revision, documents } = event else {
+    let PlatformEvent::Documents { base_revision, revision, documents } = event else {
         return format!("{event:?}");
     };
     let keys: Vec<_> = documents.iter().map(|d| (d.key.as_str(), d.text.as_deref())).collect();
-    format!("{after} {revision} {keys:?}")
+    format!("{base_revision} {revision} {keys:?}")
 }
 
 #[test]
--- a/crates/basilbank/tests/shell/rig.rs
+++ b/crates/basilbank/tests/shell/rig.rs
@@ -14,7 +14,7 @@
 };
 use basilbank_core::{
     catalogue::{Catalogue, Endpoint, EntryTarget, ModelSpec, Role},
-    effect::{DraftCall, EngineCall},
+    effect::{CompletionCall, EngineCall},
     event::{EngineEvent, Event, Failure},
     ids::{AttemptKey, CallerId, DataCentreId, EndpointId, ModelId, RequestId, ServiceId},
     state::Local,
@@ -125,7 +125,7 @@
     /// Opens a draft's call and prepares its decode as attempt `key`.
     pub fn decode(&self, key: u64) -> EngineCall {
         let draft = self.draft(key, endpoint_id("d1"));
-        EngineCall::Decode { draft, source: endpoint_id("p1"), handle: "k1".to_owned() }
+        EngineCall::Decode { call: draft, source: endpoint_id("p1"), handle: "k1".to_owned() }
     }
 
     /// Opens a plain call and prepares it as attempt `key`.
@@ -135,15 +135,15 @@
         EngineCall::Plain { attempt, caller, request: REQUEST, endpoint, timeout }
     }
 
-    fn draft(&self, key: u64, endpoint: EndpointId) -> DraftCall {
+    fn draft(&self, key: u64, endpoint: EndpointId) -> CompletionCall {
         let prompt = "two oak worktops".to_owned();
         let held = HeldDraft { prompt, ..HeldDraft::default() };
         let (caller, _replies): (CallerId, _) = self.callers.open_draft(held, 8);
-        DraftCall {
+        CompletionCall {
             attempt: attempt(key),
             caller,
             request: REQUEST,
-            number: 3,
+            attempt_number: 3,
             endpoint,
             delivered: 0,
             remaining: 16,
--- a/crates/basilbank_core/benches/policy/time.rs
+++ b/crates/basilbank_core/benches/policy/time.rs
@@ -106,7 +106,7 @@
     match event {
         Event::Tick => "tick",
         Event::Caller(_) => "caller",
-        Event::Engine(EngineEvent::Token { .. }) => "token",
+        Event::Engine(EngineEvent::Tokens { .. }) => "token",
         Event::Engine(EngineEvent::Report { .. }) => "report",
         Event::Engine(_) => "engine",
         Event::Peer { .. } => "peer",
--- a/crates/basilbank_core/src/effect.rs
+++ b/crates/basilbank_core/src/effect.rs
@@ -66,7 +66,7 @@
         stream: String,
         /// The caller's token 0 is this token of the stream, so a cursor's offset can be worked out;
         /// negative when the stream continues another one.
-        base: i64,
+        base_offset: i64,
     },
     /// Tokens, in order and once each.
     Tokens {
@@ -80,11 +80,11 @@
         /// `stop` or `length`.
         reason: String,
         /// Prompt tokens.
-        prompt: u32,
+        prompt_tokens: u32,
         /// Prompt tokens that came from the prefix cache.
-        cached: u32,
+        cached_tokens: u32,
         /// Generated tokens.
-        generated: u32,
+        generated_tokens: u32,
     },
     /// The plain answer that the shell holds for this attempt.
     Plain {
@@ -96,7 +96,7 @@
         /// Why.
         refusal: Refusal,
         /// When another try may succeed.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// It may have run; it can't be finished.
     Unknown,
@@ -107,11 +107,11 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum EngineCall {
     /// Run a prefill.
-    Prefill(DraftCall),
+    Prefill(CompletionCall),
     /// Import a KV cache and stream tokens.
     Decode {
         /// What to decode.
-        draft: DraftCall,
+        call: CompletionCall,
         /// The prefill endpoint that holds the KV cache.
         source: EndpointId,
         /// The KV cache's name there.
@@ -154,7 +154,7 @@
         /// The request.
         request: RequestId,
         /// The KV cache or stream to cancel, if it is known.
-        held: Option<String>,
+        resource: Option<String>,
     },
     /// Cancel a stream or KV cache that a dead daemon left.
     Reap {
@@ -197,7 +197,7 @@
 /// What a prefill or decode endpoint needs to know of a draft. The shell adds the prompt's text and
 /// the texts already delivered.
 #[derive(Clone, PartialEq, Debug)]
-pub struct DraftCall {
+pub struct CompletionCall {
     /// The attempt.
     pub attempt: AttemptKey,
     /// The caller, whose prompt the shell holds.
@@ -205,7 +205,7 @@
     /// The request.
     pub request: RequestId,
     /// The attempt's number within its request, from 0.
-    pub number: u32,
+    pub attempt_number: u32,
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Tokens that the caller already has: they are part of the prompt now.
@@ -295,11 +295,11 @@
         /// How.
         outcome: Outcome,
         /// Since it was accepted.
-        took: Duration,
+        duration: Duration,
         /// Prompt tokens charged.
-        prompt: u32,
+        prompt_tokens: u32,
         /// Generated tokens charged.
-        generated: u32,
+        generated_tokens: u32,
         /// Mean time between tokens.
         tbt: Duration,
     },
@@ -308,6 +308,6 @@
         /// A stable name, for example `member_suspect`.
         name: &'static str,
         /// Key=value pairs.
-        pairs: Vec<(&'static str, String)>,
+        fields: Vec<(&'static str, String)>,
     },
 }
--- a/crates/basilbank_core/src/event.rs
+++ b/crates/basilbank_core/src/event.rs
@@ -54,27 +54,27 @@
     /// The caller says that this may be repeated (`Some(true)`) or not (`Some(false)`).
     pub repeatable: Option<bool>,
     /// What is asked for.
-    pub work: Work,
+    pub kind: CallKind,
 }
 
 /// What a call asks for.
 #[derive(Clone, Debug)]
-pub enum Work {
+pub enum CallKind {
     /// Text by a model.
-    Draft(Draft),
+    Completion(Completion),
     /// A call to a plain service.
-    Plain(Plain),
+    Plain(PlainCall),
 }
 
 /// A draft. The shell keeps the prompt's text; decisions need its size and its prefix only.
 #[derive(Clone, Debug)]
-pub struct Draft {
+pub struct Completion {
     /// The entry's name.
     pub model: String,
     /// Estimated prompt tokens.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// Rolling hashes of the prompt's blocks, for the prefix cache.
-    pub blocks: Arc<[u64]>,
+    pub block_hashes: Arc<[u64]>,
     /// Most tokens to generate.
     pub max_tokens: u32,
     /// Where the stream goes on, from a cursor that the shell has authenticated.
@@ -96,7 +96,7 @@
 
 /// A plain call. The shell keeps headers and body.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct PlainCall {
     /// The method, in upper case.
     pub method: String,
     /// The path, without the query.
@@ -113,13 +113,13 @@
         /// The KV cache's name at the prefill endpoint.
         handle: String,
         /// Prompt tokens.
-        tokens: u32,
+        prompt_tokens: u32,
         /// Prompt tokens that came from the prefix cache.
-        cached: u32,
+        cached_tokens: u32,
         /// Size of the KV cache in bytes.
         bytes: u64,
         /// How long the endpoint spent.
-        spent: Duration,
+        prefill_time: Duration,
     },
     /// The decode endpoint took the KV cache; tokens follow.
     Started {
@@ -129,7 +129,7 @@
         stream: String,
     },
     /// Tokens came.
-    Token {
+    Tokens {
         /// The attempt.
         attempt: AttemptKey,
         /// Offset of the first one in this attempt's stream.
@@ -187,7 +187,7 @@
     /// The connection broke or a time limit passed after something was sent.
     Broken,
     /// Another reader took the stream over.
-    Taken,
+    TakenOver,
 }
 
 /// What an endpoint reports of itself.
@@ -226,17 +226,17 @@
     /// All streams and KV caches that it holds.
     Streams(Vec<StreamInfo>),
     /// The last order was taken.
-    Ordered {
+    OrderAccepted {
         /// Its fencing number.
         fence: u64,
     },
     /// The last order was refused: the endpoint has seen a higher fencing number.
-    Fenced {
+    OrderFenced {
         /// The endpoint's number.
         fence: u64,
     },
     /// A report or order could not be had.
-    Silent,
+    NoResponse,
 }
 
 /// One stream or KV cache that an endpoint holds.
@@ -245,7 +245,7 @@
     /// Its name at the endpoint.
     pub stream: String,
     /// It is a KV cache that waits, not a stream.
-    pub kv: bool,
+    pub is_kv_cache: bool,
     /// Whose it is.
     pub vm: VmId,
     /// The incarnation that started it or took it over.
@@ -262,7 +262,7 @@
     /// Documents that changed.
     Documents {
         /// The revision that they apply to; 0 when they are the whole.
-        after: u64,
+        base_revision: u64,
         /// The revision afterwards.
         revision: u64,
         /// The documents.
--- a/crates/basilbank_core/src/naive.rs
+++ b/crates/basilbank_core/src/naive.rs
@@ -12,7 +12,7 @@
 use crate::{
     catalogue::{Catalogue, EntryTarget},
     effect::{Answer, Effect, Progress},
-    event::{Call, CallerEvent, EngineEvent, Event, PlatformEvent, Work},
+    event::{Call, CallKind, CallerEvent, EngineEvent, Event, PlatformEvent},
     ids::{AttemptKey, CallerId, EntryId, RequestId, RequestKey, TeamId},
     reason::Refusal,
     state::{Local, Timer, Timers, View},
@@ -96,7 +96,7 @@
 
     fn platform(&mut self, now: Now, event: PlatformEvent, out: &mut Vec<Effect>) {
         match event {
-            PlatformEvent::Documents { after, documents, .. } if 0 < after => {
+            PlatformEvent::Documents { base_revision: after, documents, .. } if 0 < after => {
                 let seen = if documents.is_empty() { after } else { 0 };
                 out.push(Effect::WatchCatalogue { after: seen });
             }
@@ -129,7 +129,7 @@
             Err(refusal) => {
                 let progress = Progress::Refused { request: None, team: None, refusal };
                 out.push(Effect::Progress(progress));
-                let answer = Answer::Refused { refusal, after: None };
+                let answer = Answer::Refused { refusal, retry_after: None };
                 out.push(Effect::Answer { caller, answer });
                 return;
             }
@@ -149,11 +149,11 @@
             return Err(Refusal::NotReady);
         }
         let team = self.view.team(&call.key).ok_or(Refusal::UnknownKey)?;
-        let entry = match &call.work {
-            Work::Draft(draft) => {
+        let entry = match &call.kind {
+            CallKind::Completion(draft) => {
                 self.view.draft_entry(team, &draft.model).ok_or(Refusal::UnknownModel)?
             }
-            Work::Plain(plain) => {
+            CallKind::Plain(plain) => {
                 let service = self.view.service(&plain.path).ok_or(Refusal::UnknownPath)?;
                 self.view.plain_entry(team, service).ok_or(Refusal::UnknownPath)?
             }
@@ -163,11 +163,17 @@
 
     fn engine(&mut self, now: Now, event: EngineEvent, out: &mut Vec<Effect>) {
         match event {
-            EngineEvent::Prefilled { attempt, handle, tokens, cached, .. } => {
+            EngineEvent::Prefilled {
+                attempt,
+                handle,
+                prompt_tokens: tokens,
+                cached_tokens: cached,
+                ..
+            } => {
                 self.prefilled(attempt, handle, tokens, cached, out);
             }
             EngineEvent::Started { attempt, stream } => self.started(attempt, stream, out),
-            EngineEvent::Token { attempt, offset, texts } => {
+            EngineEvent::Tokens { attempt, offset, texts } => {
                 self.tokens(now, attempt, offset, texts, out);
             }
             EngineEvent::Finished { attempt, reason, .. } => {
--- a/crates/basilbank_core/src/naive/call.rs
+++ b/crates/basilbank_core/src/naive/call.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     catalogue::{EntryTarget, Role},
-    effect::{Answer, DraftCall, Effect, EngineCall, Progress},
+    effect::{Answer, CompletionCall, Effect, EngineCall, Progress},
     ids::{AttemptKey, CallerId, EndpointId, RequestKey},
     naive::{Naive, Stage},
     reason::{Outcome, Refusal},
@@ -53,14 +53,19 @@
         all.get(self.turn.checked_rem(all.len())?).copied()
     }
 
-    fn draft_call(&self, key: RequestKey, attempt: AttemptKey, endpoint: EndpointId) -> DraftCall {
+    fn draft_call(
+        &self,
+        key: RequestKey,
+        attempt: AttemptKey,
+        endpoint: EndpointId,
+    ) -> CompletionCall {
         let job = &self.jobs[key];
         let class = self.view.entry(job.entry).and_then(|e| self.view.class(e.class));
-        DraftCall {
+        CompletionCall {
             attempt,
             caller: job.caller,
             request: job.id,
-            number: job.attempts - 1,
+            attempt_number: job.attempts - 1,
             endpoint,
             delivered: 0,
             remaining: job.draft.as_ref().map_or(0, |d| d.max_tokens),
@@ -87,7 +92,7 @@
         };
         self.jobs[key].stage = Stage::Running(attempt, endpoint);
         let draft = self.draft_call(key, attempt, endpoint);
-        out.push(Effect::Engine(EngineCall::Decode { draft, source, handle }));
+        out.push(Effect::Engine(EngineCall::Decode { call: draft, source, handle }));
     }
 
     pub(super) fn started(&mut self, attempt: AttemptKey, stream: String, out: &mut Vec<Effect>) {
@@ -95,7 +100,7 @@
         let job = &self.jobs[key];
         let Stage::Running(_, endpoint) = job.stage else { return };
         let offset = job.draft.as_ref().and_then(|d| d.resume.as_ref()).map_or(0, |r| r.offset);
-        let answer = Answer::Located { endpoint, stream, base: offset.into() };
+        let answer = Answer::Located { endpoint, stream, base_offset: offset.into() };
         out.push(Effect::Answer { caller: job.caller, answer });
     }
 
@@ -137,7 +142,12 @@
         let Some(key) = self.attempts.get(attempt).copied() else { return };
         let job = &self.jobs[key];
         let (prompt, cached, generated) = (job.prompt, job.cached, job.delivered);
-        let answer = Answer::Done { reason, prompt, cached, generated };
+        let answer = Answer::Done {
+            reason,
+            prompt_tokens: prompt,
+            cached_tokens: cached,
+            generated_tokens: generated,
+        };
         self.end(now, key, answer, Outcome::Done, out);
     }
 
@@ -151,7 +161,7 @@
         let job = &self.jobs[key];
         if let Stage::Running(attempt, endpoint) = job.stage {
             let request = job.id;
-            let call = EngineCall::Cancel { attempt, endpoint, request, held: None };
+            let call = EngineCall::Cancel { attempt, endpoint, request, resource: None };
             out.push(Effect::Engine(call));
         }
         self.settle(now, key, Outcome::Abandoned, out);
@@ -161,7 +171,7 @@
         let job = &self.jobs[key];
         let (request, team) = (Some(job.id), Some(job.team));
         out.push(Effect::Progress(Progress::Refused { request, team, refusal }));
-        let answer = Answer::Refused { refusal, after: None };
+        let answer = Answer::Refused { refusal, retry_after: None };
         out.push(Effect::Answer { caller: job.caller, answer });
         self.forget(key);
     }
@@ -186,9 +196,9 @@
             team: job.team,
             entry: job.entry,
             outcome,
-            took: now.mono - job.accepted,
-            prompt: job.prompt,
-            generated: job.delivered,
+            duration: now.mono - job.accepted,
+            prompt_tokens: job.prompt,
+            generated_tokens: job.delivered,
             tbt: Duration::ZERO,
         }));
         self.forget(key);
--- a/crates/basilbank_core/src/naive/job.rs
+++ b/crates/basilbank_core/src/naive/job.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     catalogue::EntryTarget,
-    event::{Call, Draft, Work},
+    event::{Call, CallKind, Completion},
     ids::{AttemptKey, CallerId, EndpointId, EntryId, RequestId, TeamId},
 };
 
@@ -22,7 +22,7 @@
     /// What it needs.
     pub target: EntryTarget,
     /// The draft; `None` for a plain call.
-    pub draft: Option<Draft>,
+    pub draft: Option<Completion>,
     /// When it was accepted.
     pub accepted: Duration,
     /// Attempts so far.
@@ -59,9 +59,9 @@
         target: EntryTarget,
         accepted: Duration,
     ) -> Job {
-        let draft = match call.work {
-            Work::Draft(draft) => Some(draft),
-            Work::Plain(_) => None,
+        let draft = match call.kind {
+            CallKind::Completion(draft) => Some(draft),
+            CallKind::Plain(_) => None,
         };
         Job {
             id,
--- a/crates/basilbank_core/src/prelude.rs
+++ b/crates/basilbank_core/src/prelude.rs
@@ -5,10 +5,10 @@
 pub use crate::catalogue::{
     Catalogue, Class, Endpoint, Entry, EntryTarget, KeyHash, Limits, ModelSpec, Role, Service, Team,
 };
-pub use crate::effect::{Answer, DraftCall, Effect, EngineCall, Progress};
+pub use crate::effect::{Answer, CompletionCall, Effect, EngineCall, Progress};
 pub use crate::event::{
-    Call, CallerEvent, Draft, EngineEvent, EngineReport, Event, Failure, Plain, PlatformEvent,
-    StreamInfo, Work,
+    Call, CallKind, CallerEvent, Completion, EngineEvent, EngineReport, Event, Failure, PlainCall,
+    PlatformEvent, StreamInfo,
 };
 pub use crate::ids::{
     AttemptKey, CallerId, ClassId, DataCentreId, EndpointId, EntryId, ModelId, RequestId,
--- a/crates/basilbank_core/src/reduce.rs
+++ b/crates/basilbank_core/src/reduce.rs
@@ -4,14 +4,12 @@
 mod affinity;
 mod candidates;
 mod catalogue;
-mod charge;
 mod claim;
 mod decode;
 mod deliver;
 mod estimate;
-mod leave;
+mod health;
 mod limit;
-mod load;
 mod member;
 mod order;
 mod peer;
@@ -24,7 +22,9 @@
 mod resume;
 mod retry;
 mod settle;
+mod shutdown;
 mod slots;
+mod waste;
 
 use basilbank_wire::Body;
 
@@ -32,14 +32,14 @@
     effect::Effect,
     event::{CallerEvent, EngineEvent, EngineReport, Event, PlatformEvent},
     ids::{EndpointId, VmId},
-    reduce::prefill::Prefilled,
+    reduce::prefill::PrefillResult,
     state::{State, Timer},
     time::Now,
 };
 
 /// Takes one event in and pushes what is to be done about it.
 pub fn reduce(state: &mut State, now: Now, event: Event, out: &mut Vec<Effect>) {
-    let first = out.len();
+    let first_new = out.len();
     member::awake(state, now, out);
     claim::expire(state, now, out);
     match event {
@@ -52,20 +52,20 @@
             }
         }
         Event::Platform(event) => on_platform(state, now, event, out),
-        Event::Shutdown => leave::begin(state, now, out),
+        Event::Shutdown => shutdown::begin(state, now, out),
     }
-    hear_self(state, now, out);
+    handle_local_messages(state, now, out);
     while let Some(timer) = state.timers.pop_due(now.mono) {
         on_timer(state, now, timer, out);
-        hear_self(state, now, out);
+        handle_local_messages(state, now, out);
     }
-    claim::remember(state, &out[first..]);
-    reap::remember(state, now, &out[first..]);
-    leave::finish(state, now, out);
+    claim::remember(state, &out[first_new..]);
+    reap::remember(state, now, &out[first_new..]);
+    shutdown::exit_when_idle(state, now, out);
 }
 
 /// Takes in what this daemon said to itself.
-fn hear_self(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+fn handle_local_messages(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     while let Some(body) = state.slots.inbox.pop_front() {
         let (vm, incarnation) = (state.local.vm, state.local.incarnation);
         on_peer(state, now, vm, incarnation, body, out);
@@ -74,15 +74,15 @@
 
 fn on_timer(state: &mut State, now: Now, timer: Timer, out: &mut Vec<Effect>) {
     match timer {
-        Timer::Attempt(key) => retry::timed_out(state, now, key, out),
-        Timer::Request(key) => place::start(state, now, key, out),
+        Timer::Attempt(key) => retry::on_timeout(state, now, key, out),
+        Timer::Request(key) => place::start_attempt(state, now, key, out),
         Timer::Claim(id) => claim::timed_out(state, now, id, out),
         Timer::Platform => catalogue::tick(state, now, out),
         Timer::Heartbeat => member::tick(state, now, out),
         Timer::Slots => slots::tick(state, now, out),
         Timer::Serve(endpoint) => slots::serve(state, now, endpoint, out),
         Timer::Limits => limit::tick(state, now, out),
-        Timer::Loads => load::tick(state, now, out),
+        Timer::Loads => health::tick(state, now, out),
         Timer::Orders => order::tick(state, now, out),
         Timer::Reap => reap::tick(state, now, out),
     }
@@ -90,29 +90,37 @@
 
 fn on_caller(state: &mut State, now: Now, event: CallerEvent, out: &mut Vec<Effect>) {
     match event {
-        CallerEvent::Arrived(call) => admit::arrived(state, now, *call, out),
-        CallerEvent::Left(caller) => settle::abandoned(state, now, caller, out),
+        CallerEvent::Arrived(call) => admit::on_call(state, now, *call, out),
+        CallerEvent::Left(caller) => settle::on_caller_left(state, now, caller, out),
     }
 }
 
 fn on_engine(state: &mut State, now: Now, event: EngineEvent, out: &mut Vec<Effect>) {
     match event {
-        EngineEvent::Prefilled { attempt, handle, tokens, cached, bytes, spent } => {
-            let done = Prefilled { handle, tokens, cached, bytes, spent };
-            prefill::done(state, now, attempt, done, out);
+        EngineEvent::Prefilled {
+            attempt,
+            handle,
+            prompt_tokens,
+            cached_tokens,
+            bytes,
+            prefill_time,
+        } => {
+            let result =
+                PrefillResult { handle, prompt_tokens, cached_tokens, bytes, prefill_time };
+            prefill::on_prefilled(state, now, attempt, result, out);
         }
         EngineEvent::Started { attempt, stream } => {
-            decode::started(state, now, attempt, stream, out);
+            decode::on_started(state, now, attempt, stream, out);
         }
-        EngineEvent::Token { attempt, offset, texts } => {
-            deliver::tokens(state, now, attempt, offset, texts, out);
+        EngineEvent::Tokens { attempt, offset, texts } => {
+            deliver::on_tokens(state, now, attempt, offset, texts, out);
         }
         EngineEvent::Finished { attempt, reason, tokens } => {
-            deliver::finished(state, now, attempt, reason, tokens, out);
+            deliver::on_finished(state, now, attempt, reason, tokens, out);
         }
-        EngineEvent::Answered { attempt, .. } => plain::answered(state, now, attempt, out),
+        EngineEvent::Answered { attempt, .. } => plain::on_answered(state, now, attempt, out),
         EngineEvent::Failed { attempt, failure } => {
-            retry::failed(state, now, attempt, failure, out);
+            retry::on_failed(state, now, attempt, failure, out);
         }
         EngineEvent::Report { endpoint, report } => on_report(state, now, endpoint, &report, out),
     }
@@ -120,8 +128,8 @@
 
 fn on_platform(state: &mut State, now: Now, event: PlatformEvent, out: &mut Vec<Effect>) {
     match event {
-        PlatformEvent::Documents { after, revision, documents } => {
-            catalogue::documents(state, now, after, revision, documents, out);
+        PlatformEvent::Documents { base_revision, revision, documents } => {
+            catalogue::documents(state, now, base_revision, revision, documents, out);
         }
         PlatformEvent::Checked { revision, result } => {
             catalogue::checked(state, now, revision, result, out);
@@ -144,7 +152,7 @@
     if let EngineReport::Streams(streams) = report {
         reap::listed(state, endpoint, streams, out);
     }
-    load::reported(state, now, endpoint, report, out);
+    health::on_report(state, now, endpoint, report, out);
     order::reported(state, now, endpoint, report, out);
 }
 
@@ -160,14 +168,14 @@
         return;
     }
     match body {
-        Body::Heartbeat(beat) => member::heard(state, now, from, &beat, out),
-        Body::Reserve(ask) => slots::asked(state, now, from, &ask, out),
-        Body::Grant(grant) => reserve::granted(state, now, from, &grant, out),
-        Body::Deny(deny) => reserve::denied(state, now, &deny, out),
+        Body::Heartbeat(heartbeat) => member::heard(state, now, from, &heartbeat, out),
+        Body::Reserve(reserve) => slots::asked(state, now, from, &reserve, out),
+        Body::Grant(grant) => reserve::on_granted(state, now, from, &grant, out),
+        Body::Deny(deny) => reserve::on_denied(state, now, &deny, out),
         Body::Release(release) => slots::released(state, now, from, &release, out),
         Body::AskHolds(ask) => slots::holds_asked(state, from, &ask, out),
         Body::Holds(holds) => slots::holds(state, now, from, &holds, out),
-        Body::Preempt(preempt) => reserve::preempted(state, now, &preempt, out),
+        Body::Preempt(preempt) => reserve::on_preempted(state, now, &preempt, out),
         Body::Claim(claim) => claim::asked(state, now, from, &claim, out),
         Body::Vote(vote) => claim::voted(state, now, from, &vote, out),
         Body::Settle(settle) => claim::told(state, now, from, &settle, out),
--- a/crates/basilbank_core/src/reduce/admit.rs
+++ b/crates/basilbank_core/src/reduce/admit.rs
@@ -7,7 +7,7 @@
 use crate::{
     catalogue::{Entry, Service},
     effect::{Answer, Effect, Progress},
-    event::{Call, Draft, Plain, ResumePoint, Work},
+    event::{Call, CallKind, Completion, PlainCall, ResumePoint},
     ids::{EndpointId, EntryId, RequestId, RequestKey, TeamId},
     reason::Refusal,
     reduce::{claim, limit, place},
@@ -18,44 +18,46 @@
 /// Methods that may be repeated unless someone says otherwise.
 const SAFE_METHODS: [&str; 2] = ["GET", "HEAD"];
 /// When a caller should come back after a refusal that says nothing better.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call came in: accept it or refuse it.
-pub fn arrived(state: &mut State, now: Now, call: Call, out: &mut Vec<Effect>) {
+pub fn on_call(state: &mut State, now: Now, call: Call, out: &mut Vec<Effect>) {
     let (team, entry) = match authorize(state, &call) {
         Ok(found) => found,
         Err(refusal) => return refuse(&call, None, refusal, out),
     };
-    let tokens = match &call.work {
-        Work::Draft(draft) if draft.resume.is_none() => draft.tokens + draft.max_tokens,
-        Work::Draft(_) | Work::Plain(_) => 0,
+    let tokens = match &call.kind {
+        CallKind::Completion(completion) if completion.resume.is_none() => {
+            completion.prompt_tokens + completion.max_tokens
+        }
+        CallKind::Completion(_) | CallKind::Plain(_) => 0,
     };
     if let Err(refusal) = limit::take(state, now, entry, tokens, out) {
         return refuse(&call, Some(team), refusal, out);
     }
-    let request = accept(state, now, call, team, entry, tokens);
+    let request = new_request(state, now, call, team, entry, tokens);
     let (id, caller) = (request.id, request.caller);
     // A cursor names the stream that is wanted, so nothing is run and there is nothing to claim.
     let is_resumed = request.draft.as_ref().is_some_and(|d| d.resume.is_some());
-    let is_keyed = request.idempotency.is_some() && !is_resumed;
+    let has_idempotency_key = request.idempotency.is_some() && !is_resumed;
     let key = state.requests.insert(request);
     out.push(Effect::Progress(Progress::Accepted { request: id, team, entry }));
     out.push(Effect::Answer { caller, answer: Answer::Accepted { request: id, entry } });
-    if is_keyed {
+    if has_idempotency_key {
         state.requests.arena[key].stage = RequestStage::Claiming;
         claim::begin(state, now, key, out);
     } else {
-        place::start(state, now, key, out);
+        place::start_attempt(state, now, key, out);
     }
 }
 
 /// The request's idempotency key is its own: it may run.
-pub fn claimed(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
-    begin(state, now, key, out);
+pub fn on_key_claimed(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
+    start_after_claim(state, now, key, out);
 }
 
 /// The request's idempotency key belongs to a stream that runs elsewhere: read that from its start.
-pub fn joined(
+pub fn join_stream(
     state: &mut State,
     now: Now,
     key: RequestKey,
@@ -68,23 +70,23 @@
     request.risked = true;
     request.joined = true;
     request.repeatable = false;
-    if let Some(draft) = &mut request.draft {
-        draft.resume =
+    if let Some(completion) = &mut request.draft {
+        completion.resume =
             Some(ResumePoint { endpoint, stream: record.stream.clone(), offset: 0, entry });
     }
-    begin(state, now, key, out);
+    start_after_claim(state, now, key, out);
 }
 
-fn begin(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
+fn start_after_claim(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.arena.get_mut(key) else { return };
     request.stage = RequestStage::Waiting;
-    place::start(state, now, key, out);
+    place::start_attempt(state, now, key, out);
 }
 
 fn refuse(call: &Call, team: Option<TeamId>, refusal: Refusal, out: &mut Vec<Effect>) {
     out.push(Effect::Progress(Progress::Refused { request: None, team, refusal }));
-    let after = refusal.is_temporary().then_some(COME_BACK);
-    let answer = Answer::Refused { refusal, after };
+    let retry_after = refusal.is_temporary().then_some(DEFAULT_RETRY_AFTER);
+    let answer = Answer::Refused { refusal, retry_after };
     out.push(Effect::Answer { caller: call.caller, answer });
 }
 
@@ -97,30 +99,32 @@
         return Err(Refusal::NotReady);
     }
     let team = view.team(&call.key).ok_or(Refusal::UnknownKey)?;
-    let entry = match &call.work {
-        Work::Draft(draft) => view.draft_entry(team, &draft.model).ok_or(Refusal::UnknownModel)?,
-        Work::Plain(plain) => {
+    let entry = match &call.kind {
+        CallKind::Completion(completion) => {
+            view.draft_entry(team, &completion.model).ok_or(Refusal::UnknownModel)?
+        }
+        CallKind::Plain(plain) => {
             let service = view.service(&plain.path).ok_or(Refusal::UnknownPath)?;
             view.plain_entry(team, service).ok_or(Refusal::UnknownPath)?
         }
     };
-    check_work(&call.work, entry)?;
+    check_call(&call.kind, entry)?;
     if state.local.tuning.queue <= state.requests.queued {
         return Err(Refusal::QueueFull);
     }
     Ok((team, entry.id))
 }
 
-fn check_work(work: &Work, entry: &Entry) -> Result<(), Refusal> {
-    let Work::Draft(draft) = work else { return Ok(()) };
-    match &draft.resume {
+fn check_call(kind: &CallKind, entry: &Entry) -> Result<(), Refusal> {
+    let CallKind::Completion(completion) = kind else { return Ok(()) };
+    match &completion.resume {
         Some(resume) if resume.entry != entry.id => Err(Refusal::BadCursor),
-        None if draft.max_tokens == 0 => Err(Refusal::BadRequest),
+        None if completion.max_tokens == 0 => Err(Refusal::BadRequest),
         Some(_) | None => Ok(()),
     }
 }
 
-fn accept(
+fn new_request(
     state: &mut State,
     now: Now,
     call: Call,
@@ -132,27 +136,27 @@
     let id = RequestId::new(state.local.vm, state.local.incarnation, state.requests.counter);
     let mut request = Request::new(id, &call, team, entry, now.mono);
     request.taken = tokens;
-    let known = state.view.entry(entry);
-    if let Some(class) = known.and_then(|e| state.view.class(e.class)) {
+    let entry_record = state.view.entry(entry);
+    if let Some(class) = entry_record.and_then(|e| state.view.class(e.class)) {
         request.due = now.mono + class.ttft;
         request.until = request.due + class.wait;
     }
-    request.repeatable = call.repeatable.unwrap_or_else(|| match &call.work {
-        Work::Draft(_) => true,
-        Work::Plain(plain) => is_repeatable(plain, state.view.service(&plain.path)),
+    request.repeatable = call.repeatable.unwrap_or_else(|| match &call.kind {
+        CallKind::Completion(_) => true,
+        CallKind::Plain(plain) => is_repeatable(plain, state.view.service(&plain.path)),
     });
-    request.draft = draft_of(call.work);
+    request.draft = into_completion(call.kind);
     request
 }
 
-fn draft_of(work: Work) -> Option<Draft> {
-    match work {
-        Work::Draft(draft) => Some(draft),
-        Work::Plain(_) => None,
+fn into_completion(kind: CallKind) -> Option<Completion> {
+    match kind {
+        CallKind::Completion(completion) => Some(completion),
+        CallKind::Plain(_) => None,
     }
 }
 
-fn is_repeatable(plain: &Plain, service: Option<&Service>) -> bool {
-    let listed = service.is_some_and(|s| s.repeatable.contains(&plain.method));
-    listed || SAFE_METHODS.contains(&plain.method.as_str())
+fn is_repeatable(plain: &PlainCall, service: Option<&Service>) -> bool {
+    let is_listed = service.is_some_and(|s| s.repeatable.contains(&plain.method));
+    is_listed || SAFE_METHODS.contains(&plain.method.as_str())
 }
--- a/crates/basilbank_core/src/reduce/affinity.rs
+++ b/crates/basilbank_core/src/reduce/affinity.rs
@@ -3,19 +3,23 @@
 
 use crate::{
     catalogue::{EntryTarget, Role},
-    event::Draft,
+    event::Completion,
     ids::{EndpointId, VmId},
     state::{State, rank},
 };
 
 /// A block that more endpoints hold than this is part of what many prompts share, such as a team's
 /// instructions: it says nothing about where a prompt belongs.
-const SHARED: usize = 2;
+const MAX_BLOCK_HOLDERS: usize = 2;
 
 /// The endpoint that a prompt belongs to; `None` when it has no part of its own.
 #[must_use]
-pub fn home(state: &State, target: EntryTarget, draft: &Draft) -> Option<EndpointId> {
-    let block = state.health.prefixes.first_own(&draft.blocks, SHARED)?;
-    let all = state.view.serving(target, Role::Prefill).iter().copied();
-    all.max_by_key(|endpoint| rank(VmId(endpoint.0), block))
+pub fn preferred_endpoint(
+    state: &State,
+    target: EntryTarget,
+    completion: &Completion,
+) -> Option<EndpointId> {
+    let block = state.health.prefixes.first_own(&completion.block_hashes, MAX_BLOCK_HOLDERS)?;
+    let endpoints = state.view.serving(target, Role::Prefill).iter().copied();
+    endpoints.max_by_key(|endpoint| rank(VmId(endpoint.0), block))
 }
--- a/crates/basilbank_core/src/reduce/candidates.rs
+++ b/crates/basilbank_core/src/reduce/candidates.rs
@@ -11,29 +11,29 @@
 };
 
 /// Of a pool of no more endpoints than this, all are looked at for a choice.
-const SMALL_POOL: usize = 16;
+const MAX_UNSAMPLED_POOL: usize = 16;
 /// Of larger pools a random sample this large.
-const SAMPLE: usize = 8;
+const SAMPLE_SIZE: usize = 8;
 /// How much worse an endpoint in another data centre counts.
-const ELSEWHERE: Duration = Duration::from_millis(5);
+const OTHER_DATA_CENTRE_PENALTY: Duration = Duration::from_millis(5);
 /// How much worse an endpoint counts whose steward had no slot.
-const FULL: Duration = Duration::from_millis(200);
+const FULL_PENALTY: Duration = Duration::from_millis(200);
 /// How much worse a full endpoint counts than an empty one, by the last grant's word.
-const LOADED: Duration = Duration::from_millis(50);
+const MAX_LOAD_PENALTY: Duration = Duration::from_millis(50);
 /// How much worse an endpoint counts where the request has failed before. Without it a request whose
 /// attempts all fall on one bad endpoint of a small pool spends its retries there.
-const BLAMED: Duration = Duration::from_secs(1);
+const FAILED_BEFORE_PENALTY: Duration = Duration::from_secs(1);
 /// How long a grant's word on free slots is worth something.
-const HINT_LIFE: Duration = Duration::from_secs(2);
+const FREE_SLOTS_HINT_TTL: Duration = Duration::from_secs(2);
 /// Random part, so that daemons that know the same do not choose the same.
-const JITTER: Duration = Duration::from_millis(10);
+const MAX_JITTER: Duration = Duration::from_millis(10);
 
 /// What a prefill counts where its prompt belongs: the next one with the same beginning finds it.
-const AT_HOME: f64 = 0.1;
+const PREFERRED_COST_FACTOR: f64 = 0.1;
 
 /// What is looked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Want {
+pub struct Criteria {
     /// The model or service.
     pub target: EntryTarget,
     /// The role.
@@ -48,93 +48,107 @@
 #[derive(Debug, Default)]
 struct Prefix {
     /// Where it is cached or should be.
-    home: Option<EndpointId>,
+    preferred: Option<EndpointId>,
     /// Blocks that endpoints have of it.
     matches: Vec<(EndpointId, usize)>,
 }
 
 /// The endpoints that promise to serve an attempt soonest, best first, and how they compare.
 #[must_use]
-pub fn choose(state: &mut State, now: Now, want: &Want) -> Vec<(Duration, EndpointId)> {
-    let prefix = prefix(state, want);
-    let sample = sample(state, want, &prefix);
+pub fn choose(state: &mut State, now: Now, criteria: &Criteria) -> Vec<(Duration, EndpointId)> {
+    let prefix = find_prefix(state, criteria);
+    let sample = sample_endpoints(state, criteria, &prefix);
     let mut scored: Vec<_> = Vec::with_capacity(sample.len());
     for endpoint in sample {
-        let jitter = JITTER.mul_f64(state.rng.unit());
-        if let Some(cost) = cost(state, now, want, &prefix, endpoint) {
+        let jitter = MAX_JITTER.mul_f64(state.rng.unit());
+        if let Some(cost) = estimate_cost(state, now, criteria, &prefix, endpoint) {
             scored.push((cost + jitter, endpoint));
         }
     }
     scored.sort_unstable();
-    scored.truncate(want.count);
+    scored.truncate(criteria.count);
     scored
 }
 
-fn prefix(state: &State, want: &Want) -> Prefix {
-    let attempt = state.requests.attempts.get(want.attempt);
-    let draft = attempt.and_then(|a| state.requests.arena[a.request].draft.as_ref());
-    let Some(draft) = draft.filter(|_| want.role == Role::Prefill) else {
+fn find_prefix(state: &State, criteria: &Criteria) -> Prefix {
+    let attempt = state.requests.attempts.get(criteria.attempt);
+    let completion = attempt.and_then(|a| state.requests.arena[a.request].draft.as_ref());
+    let Some(completion) = completion.filter(|_| criteria.role == Role::Prefill) else {
         return Prefix::default();
     };
-    let home = affinity::home(state, want.target, draft);
-    Prefix { home, matches: state.health.prefixes.matches(&draft.blocks) }
+    let preferred = affinity::preferred_endpoint(state, criteria.target, completion);
+    Prefix { preferred, matches: state.health.prefixes.matches(&completion.block_hashes) }
 }
 
-fn sample(state: &mut State, want: &Want, prefix: &Prefix) -> Vec<EndpointId> {
-    let all = state.view.serving(want.target, want.role);
-    if all.len() <= SMALL_POOL {
+fn sample_endpoints(state: &mut State, criteria: &Criteria, prefix: &Prefix) -> Vec<EndpointId> {
+    let all = state.view.serving(criteria.target, criteria.role);
+    if all.len() <= MAX_UNSAMPLED_POOL {
         return all.to_vec();
     }
-    let mut sample: Vec<_> = (0..SAMPLE).map(|_| all[state.rng.index(all.len())]).collect();
-    let known = prefix.matches.iter().map(|(endpoint, _)| *endpoint).take(SAMPLE);
+    let mut sample: Vec<_> = (0..SAMPLE_SIZE).map(|_| all[state.rng.index(all.len())]).collect();
+    let known = prefix.matches.iter().map(|(endpoint, _)| *endpoint).take(SAMPLE_SIZE);
     let serves = |e: &EndpointId| state.view.endpoint(*e).is_some_and(|e| !e.leaving);
     sample.extend(known.filter(serves));
-    sample.extend(prefix.home);
+    sample.extend(prefix.preferred);
     sample.sort_unstable();
     sample.dedup();
     sample
 }
 
-fn cost(state: &State, now: Now, want: &Want, prefix: &Prefix, id: EndpointId) -> Option<Duration> {
+fn estimate_cost(
+    state: &State,
+    now: Now,
+    criteria: &Criteria,
+    prefix: &Prefix,
+    id: EndpointId,
+) -> Option<Duration> {
     let endpoint = state.view.endpoint(id)?;
-    let attempt = state.requests.attempts.get(want.attempt)?;
-    let is_asked = attempt.asks.iter().any(|a| a.endpoint == id) || attempt.denied.contains(&id);
-    if is_asked || !state.health.is_usable(id) || order::is_draining(state, id) {
+    let attempt = state.requests.attempts.get(criteria.attempt)?;
+    let was_asked = attempt.asks.iter().any(|a| a.endpoint == id) || attempt.denied.contains(&id);
+    if was_asked || !state.health.is_usable(id) || order::is_draining(state, id) {
         return None;
     }
-    let mut cost = hint(state, now, endpoint);
-    if endpoint.data_centre != near(state, want) {
-        cost += ELSEWHERE;
+    let mut cost = load_penalty(state, now, endpoint);
+    if endpoint.data_centre != preferred_data_centre(state, criteria) {
+        cost += OTHER_DATA_CENTRE_PENALTY;
     }
     let request = &state.requests.arena[attempt.request];
     if request.blamed.contains(&id) {
-        cost += BLAMED;
+        cost += FAILED_BEFORE_PENALTY;
     }
-    if want.role == Role::Prefill {
+    if criteria.role == Role::Prefill {
         let blocks = prefix.matches.iter().find(|(e, _)| *e == id).map_or(0, |(_, blocks)| *blocks);
-        let prefill = estimate::prefill_at(state, request, id, blocks);
-        cost += if prefix.home == Some(id) { prefill.mul_f64(AT_HOME) } else { prefill };
+        let prefill = estimate::prefill_time_at(state, request, id, blocks);
+        cost += if prefix.preferred == Some(id) {
+            prefill.mul_f64(PREFERRED_COST_FACTOR)
+        } else {
+            prefill
+        };
     }
     Some(cost)
 }
 
 /// Where the endpoint should be: a prefill near its decode endpoint, all else near this daemon.
-fn near(state: &State, want: &Want) -> DataCentreId {
-    let slot = state.requests.attempts.get(want.attempt).and_then(|a| a.slot);
+fn preferred_data_centre(state: &State, criteria: &Criteria) -> DataCentreId {
+    let slot = state.requests.attempts.get(criteria.attempt).and_then(|a| a.slot);
     let decode = slot.and_then(|s| state.view.endpoint(s.endpoint));
-    match (want.role, decode) {
+    match (criteria.role, decode) {
         (Role::Prefill, Some(decode)) => decode.data_centre,
         _ => state.local.data_centre,
     }
 }
 
-fn hint(state: &State, now: Now, endpoint: &Endpoint) -> Duration {
+fn load_penalty(state: &State, now: Now, endpoint: &Endpoint) -> Duration {
     let Some(known) = state.health.known.get(&endpoint.id) else { return Duration::ZERO };
-    let full = if known.full.is_some_and(|until| now.mono < until) { FULL } else { Duration::ZERO };
-    let Some((free, at)) = known.free else { return full };
-    if at + HINT_LIFE < now.mono || endpoint.slots == 0 {
-        return full;
+    let full_penalty = if known.full.is_some_and(|until| now.mono < until) {
+        FULL_PENALTY
+    } else {
+        Duration::ZERO
+    };
+    let Some((free, at)) = known.free else { return full_penalty };
+    if at + FREE_SLOTS_HINT_TTL < now.mono || endpoint.slots == 0 {
+        return full_penalty;
     }
     let used = 1.0 - (f64::from(free) / f64::from(endpoint.slots)).min(1.0);
-    full + LOADED.mul_f64(used)
+    full_penalty + MAX_LOAD_PENALTY.mul_f64(used)
 }
--- a/crates/basilbank_core/src/reduce/catalogue.rs
+++ b/crates/basilbank_core/src/reduce/catalogue.rs
@@ -107,5 +107,5 @@
 }
 
 fn note(out: &mut Vec<Effect>, name: &'static str, pairs: Vec<(&'static str, String)>) {
-    out.push(Effect::Progress(Progress::Note { name, pairs }));
+    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
 }
--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -183,7 +183,7 @@
     for effect in effects {
         let Effect::Engine(call) = effect else { continue };
         let request = match call {
-            EngineCall::Prefill(draft) | EngineCall::Decode { draft, .. } => draft.request,
+            EngineCall::Prefill(draft) | EngineCall::Decode { call: draft, .. } => draft.request,
             EngineCall::Resume { request, .. } | EngineCall::Plain { request, .. } => *request,
             _ => continue,
         };
@@ -242,7 +242,7 @@
             wait(state, now, id, renewal(state));
             let lapse = now.mono + state.local.tuning.key_window / 2;
             state.claims.unsent.push_back((lapse, id));
-            admit::claimed(state, now, key, out);
+            admit::on_key_claimed(state, now, key, out);
         }
         Standing::Lost(record) => {
             if succeed::goes_on(state, now, id, record.as_ref()) {
@@ -285,7 +285,14 @@
 ) {
     let Some(request) = state.requests.arena.get(key) else { return };
     let Some(record) = record else {
-        settle::refuse_until(state, now, key, Refusal::KeyUnclaimed, Some(COME_BACK), out);
+        settle::refuse_with_retry_after(
+            state,
+            now,
+            key,
+            Refusal::KeyUnclaimed,
+            Some(COME_BACK),
+            out,
+        );
         return;
     };
     let pairs = vec![
@@ -293,14 +300,14 @@
         ("first", RequestId(record.request).to_string()),
         ("outcome", record.outcome.to_string()),
     ];
-    out.push(Effect::Progress(Progress::Note { name: "key_repeated", pairs }));
+    out.push(Effect::Progress(Progress::Note { name: "key_repeated", fields: pairs }));
     let is_whole = record.outcome == 0 || record.outcome == Outcome::Done.code();
     if request.draft.is_some() && is_whole && !record.stream.is_empty() {
-        admit::joined(state, now, key, &record, out);
+        admit::join_stream(state, now, key, &record, out);
     } else if record.outcome == 0 {
         settle::refuse(state, now, key, Refusal::KeyRunning, out);
     } else {
-        settle::unknown(state, now, key, out);
+        settle::end_as_unknown(state, now, key, out);
     }
 }
 
--- a/crates/basilbank_core/src/reduce/claim/vote.rs
+++ b/crates/basilbank_core/src/reduce/claim/vote.rs
@@ -94,7 +94,7 @@
     }
     if !follows && state.local.tuning.keys <= state.claims.table.len() {
         let pairs = vec![("keys", state.claims.table.len().to_string())];
-        out.push(Effect::Progress(Progress::Note { name: "key_table_full", pairs }));
+        out.push(Effect::Progress(Progress::Note { name: "key_table_full", fields: pairs }));
         return (Verdict::Overflow, None);
     }
     let record = KeyRecord {
--- a/crates/basilbank_core/src/reduce/decode.rs
+++ b/crates/basilbank_core/src/reduce/decode.rs
@@ -12,12 +12,12 @@
 };
 
 /// Time that a transfer gets beyond its estimate before it counts as stalled.
-const MARGIN: Duration = Duration::from_millis(60);
+const TRANSFER_MARGIN: Duration = Duration::from_millis(60);
 /// Time limit of the whole stream's call.
-const CALL_TIMEOUT: Duration = Duration::from_secs(600);
+const STREAM_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// The KV cache and the decode slot are there: import it.
-pub fn import(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn start_import(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (Some(slot), Some(cache)) = (found.slot, found.cache.clone()) else { return };
     if state.is_leaving(slot.endpoint) {
@@ -25,11 +25,11 @@
     }
     let found = &mut state.requests.attempts[attempt];
     found.enter(AttemptStage::Import, now.mono);
-    let draft = prefill::call(state, attempt, slot.endpoint, CALL_TIMEOUT);
-    let limit = limit(state, attempt);
-    state.timers.set(now.mono + limit, Timer::Attempt(attempt));
+    let call = prefill::completion_call(state, attempt, slot.endpoint, STREAM_TIMEOUT);
+    let timeout = import_timeout(state, attempt);
+    state.timers.set(now.mono + timeout, Timer::Attempt(attempt));
     let (source, handle) = (cache.endpoint, cache.handle);
-    out.push(Effect::Engine(EngineCall::Decode { draft, source, handle }));
+    out.push(Effect::Engine(EngineCall::Decode { call, source, handle }));
 }
 
 /// How long an import may take.
@@ -39,26 +39,28 @@
 /// transfers are slow lately the link is full, and a second transfer would only fill it further: there
 /// they get as long as they take.
 #[must_use]
-pub fn limit(state: &State, attempt: AttemptKey) -> Duration {
-    let Some(found) = state.requests.attempts.get(attempt) else { return MARGIN };
-    let (Some(slot), Some(cache)) = (found.slot, &found.cache) else { return MARGIN };
-    let transfer = estimate::transfer_between(state, cache.bytes, cache.endpoint, slot.endpoint);
-    let left = cache.until.saturating_sub(found.since);
+pub fn import_timeout(state: &State, attempt: AttemptKey) -> Duration {
+    let Some(found) = state.requests.attempts.get(attempt) else { return TRANSFER_MARGIN };
+    let (Some(slot), Some(cache)) = (found.slot, &found.cache) else { return TRANSFER_MARGIN };
+    let transfer =
+        estimate::transfer_time_between(state, cache.bytes, cache.endpoint, slot.endpoint);
+    let remaining = cache.until.saturating_sub(found.since);
     let entry = state.requests.arena.get(found.request).map(|r| r.entry);
     let lag = entry.map_or(Duration::ZERO, |e| estimate::lags(state, e).transfer.margin());
-    let usual = transfer * 3 / 2 + MARGIN + lag * 2;
-    left.saturating_sub(transfer + MARGIN).max(usual)
+    let usual = transfer * 3 / 2 + TRANSFER_MARGIN + lag * 2;
+    remaining.saturating_sub(transfer + TRANSFER_MARGIN).max(usual)
 }
 
 /// Learns how long a transfer took. One that stalls teaches nothing: where links are full, those that
 /// come through late say so.
-pub fn note_transfer(state: &mut State, now: Now, attempt: AttemptKey) {
+pub fn record_transfer_time(state: &mut State, now: Now, attempt: AttemptKey) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (Some(slot), Some(cache)) = (found.slot, &found.cache) else { return };
     if found.stage != AttemptStage::Import {
         return;
     }
-    let expected = estimate::transfer_between(state, cache.bytes, cache.endpoint, slot.endpoint);
+    let expected =
+        estimate::transfer_time_between(state, cache.bytes, cache.endpoint, slot.endpoint);
     let took = now.mono.saturating_sub(found.since);
     let Some(entry) = state.view.entry(state.requests.arena[found.request].entry) else { return };
     state.health.lags.entry(entry.target).or_default().transfer.add(expected, took);
@@ -74,33 +76,33 @@
 ) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let Some(slot) = found.slot.take() else { return };
-    let failed = slot.endpoint;
+    let failed_endpoint = slot.endpoint;
     let source = found.cache.as_ref().map(|c| c.endpoint);
     if let (Failure::Stalled, Some(source)) = (failure, source) {
         // Both stewards are told, for only they see which of the two stalls with others as well.
         let prefill = found.prefill.take();
         reserve::release_stalled(state, slot, source, out);
         if let Some(prefill) = prefill {
-            reserve::release_stalled(state, prefill, failed, out);
+            reserve::release_stalled(state, prefill, failed_endpoint, out);
         }
     } else {
         reserve::release_failed(state, slot, failure, out);
     }
-    let attempt = reserve::renew(state, attempt);
+    let attempt = reserve::renew_attempt(state, attempt);
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     found.enter(AttemptStage::Move, now.mono);
     // Else the endpoint that has just failed, and so has a free slot, would be the first to grant one.
-    found.denied.push(failed);
+    found.denied.push(failed_endpoint);
     let until = found.cache.as_ref().map_or(now.mono, |c| c.until);
     state.timers.set(until, Timer::Attempt(attempt));
-    place::seek(state, now, attempt, usize::MAX, out);
+    place::reserve_slots(state, now, attempt, usize::MAX, out);
     if state.requests.attempts.get(attempt).is_some_and(|a| a.asks.is_empty()) {
-        retry::evicted(state, now, attempt, out);
+        retry::on_cache_evicted(state, now, attempt, out);
     }
 }
 
 /// The decode endpoint streams.
-pub fn started(
+pub fn on_started(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
@@ -111,7 +113,7 @@
     if !matches!(found.stage, AttemptStage::Import | AttemptStage::Stream) {
         return;
     }
-    note_transfer(state, now, attempt);
+    record_transfer_time(state, now, attempt);
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     found.cache = None;
     found.enter(AttemptStage::Stream, now.mono);
@@ -127,17 +129,17 @@
     state.timers.set(now.mono + state.local.tuning.stall, Timer::Attempt(attempt));
     state.health.entry(slot.endpoint).failures = 0;
     let caller = state.requests.arena[request].caller;
-    let base = resumed_at(state, attempt) - i64::from(base);
-    let answer = Answer::Located { endpoint: slot.endpoint, stream, base };
+    let base_offset = resume_offset(state, attempt) - i64::from(base);
+    let answer = Answer::Located { endpoint: slot.endpoint, stream, base_offset };
     out.push(Effect::Answer { caller, answer });
     claim::located(state, request);
 }
 
 /// The stream's token at which this call started to read it; 0 unless a cursor said otherwise.
-fn resumed_at(state: &State, attempt: AttemptKey) -> i64 {
+fn resume_offset(state: &State, attempt: AttemptKey) -> i64 {
     let found = &state.requests.attempts[attempt];
-    let draft = state.requests.arena[found.request].draft.as_ref();
+    let completion = state.requests.arena[found.request].draft.as_ref();
     let is_first = found.base == 0;
-    let resume = draft.and_then(|d| d.resume.as_ref()).filter(|_| is_first && found.resumed);
+    let resume = completion.and_then(|d| d.resume.as_ref()).filter(|_| is_first && found.resumed);
     resume.map_or(0, |r| i64::from(r.offset))
 }
--- a/crates/basilbank_core/src/reduce/deliver.rs
+++ b/crates/basilbank_core/src/reduce/deliver.rs
@@ -4,13 +4,13 @@
     effect::{Answer, Effect, Progress},
     ids::AttemptKey,
     reason::{Outcome, Waste},
-    reduce::{charge, reserve, resume, retry, settle},
+    reduce::{reserve, resume, retry, settle, waste},
     state::{AttemptStage, State},
     time::Now,
 };
 
 /// Tokens came: pass on those that the caller lacks.
-pub fn tokens(
+pub fn on_tokens(
     state: &mut State,
     now: Now,
     key: AttemptKey,
@@ -23,15 +23,15 @@
         return;
     }
     if attempt.taken < offset {
-        return missing(state, now, key, out);
+        return handle_gap(state, now, key, out);
     }
-    let doubled = (attempt.taken - offset) as usize;
+    let duplicates = (attempt.taken - offset) as usize;
     let request = &mut state.requests.arena[attempt.request];
-    if 0 < doubled {
-        let tokens = doubled.min(texts.len()) as u32;
-        charge::duplicate(request.id, tokens, out);
+    if 0 < duplicates {
+        let tokens = duplicates.min(texts.len()) as u32;
+        waste::record_duplicates(request.id, tokens, out);
     }
-    let fresh: Vec<_> = texts.into_iter().skip(doubled).collect();
+    let fresh: Vec<_> = texts.into_iter().skip(duplicates).collect();
     if fresh.is_empty() {
         return;
     }
@@ -59,7 +59,7 @@
 }
 
 /// The stream ended by itself: the answer is whole if no token is missing.
-pub fn finished(
+pub fn on_finished(
     state: &mut State,
     now: Now,
     key: AttemptKey,
@@ -72,17 +72,17 @@
         return;
     }
     if attempt.taken < tokens {
-        return missing(state, now, key, out);
+        return handle_gap(state, now, key, out);
     }
     let (request, slot) = (attempt.request, attempt.slot);
     if let Some(slot) = slot {
         reserve::release(state, slot, out);
     }
-    whole(state, now, request, reason, out);
+    complete(state, now, request, reason, out);
 }
 
 /// A request's answer is whole.
-pub fn whole(
+pub fn complete(
     state: &mut State,
     now: Now,
     key: crate::ids::RequestKey,
@@ -92,12 +92,12 @@
     let Some(request) = state.requests.remove(key) else { return };
     let answer = Answer::Done {
         reason,
-        prompt: request.prompt,
-        cached: request.cached,
-        generated: request.delivered,
+        prompt_tokens: request.prompt,
+        cached_tokens: request.cached,
+        generated_tokens: request.delivered,
     };
     out.push(Effect::Answer { caller: request.caller, answer });
-    settle::end(state, now, &request, Outcome::Done, out);
+    settle::finish_request(state, now, &request, Outcome::Done, out);
 }
 
 /// Tokens are missing before those that came, or before the end.
@@ -108,13 +108,13 @@
 /// Not so right after a pause of this process: more that was sent meanwhile is still to be read,
 /// perhaps that another daemon has taken the stream over. If nothing comes, the silence has it read
 /// again.
-fn missing(state: &mut State, now: Now, key: AttemptKey, out: &mut Vec<Effect>) {
+fn handle_gap(state: &mut State, now: Now, key: AttemptKey, out: &mut Vec<Effect>) {
     if state.members.presence.waiting.is_some() {
         return;
     }
-    if state.requests.attempts[key].rereads < resume::REREADS {
-        resume::again(state, now, key, out);
+    if state.requests.attempts[key].rereads < resume::MAX_REREADS {
+        resume::reread_stream(state, now, key, out);
     } else {
-        retry::stream_died(state, now, key, Waste::DecodeFailed, out);
+        retry::on_stream_lost(state, now, key, Waste::DecodeFailed, out);
     }
 }
--- a/crates/basilbank_core/src/reduce/estimate.rs
+++ b/crates/basilbank_core/src/reduce/estimate.rs
@@ -9,36 +9,37 @@
 };
 
 /// Assumed where the catalogue gives no rate, in tokens a second.
-const DEFAULT_RATE: f64 = 10_000.0;
+const DEFAULT_PREFILL_TOKENS_PER_SECOND: f64 = 10_000.0;
 
 /// The prefill of a request at a typical endpoint, nothing cached.
 #[must_use]
-pub fn prefill(state: &State, request: &Request) -> Duration {
-    let first = first_prefill(state, request.entry);
-    let rate = first.map_or(DEFAULT_RATE, rate_of);
+pub fn prefill_time(state: &State, request: &Request) -> Duration {
+    let first = first_prefill_endpoint(state, request.entry);
+    let rate = first.map_or(DEFAULT_PREFILL_TOKENS_PER_SECOND, prefill_rate_of);
     Duration::from_secs_f64(f64::from(request.prompt_tokens()) / rate)
 }
 
 /// The prefill of a request at one endpoint that has some of its blocks cached.
 #[must_use]
-pub fn prefill_at(
+pub fn prefill_time_at(
     state: &State,
     request: &Request,
     endpoint: EndpointId,
     blocks: usize,
 ) -> Duration {
-    let rate = state.view.endpoint(endpoint).map_or(DEFAULT_RATE, rate_of);
-    let cached = blocks as u32 * model(state, request.entry).map_or(0, |m| m.block_tokens);
+    let rate =
+        state.view.endpoint(endpoint).map_or(DEFAULT_PREFILL_TOKENS_PER_SECOND, prefill_rate_of);
+    let cached = blocks as u32 * model_of(state, request.entry).map_or(0, |m| m.block_tokens);
     let fresh = request.prompt_tokens().saturating_sub(cached);
     Duration::from_secs_f64(f64::from(fresh) / rate)
 }
 
 /// Prompt tokens of a request that an endpoint has cached, as far as is known.
 #[must_use]
-pub fn cached(state: &State, request: &Request, endpoint: EndpointId) -> u32 {
-    let Some(draft) = &request.draft else { return 0 };
-    let Some(model) = model(state, request.entry) else { return 0 };
-    let matches = state.health.prefixes.matches(&draft.blocks);
+pub fn cached_tokens(state: &State, request: &Request, endpoint: EndpointId) -> u32 {
+    let Some(completion) = &request.draft else { return 0 };
+    let Some(model) = model_of(state, request.entry) else { return 0 };
+    let matches = state.health.prefixes.matches(&completion.block_hashes);
     let found = matches.iter().find(|(e, _)| *e == endpoint);
     found.map_or(0, |(_, blocks)| *blocks as u32 * model.block_tokens)
 }
@@ -46,7 +47,7 @@
 /// A block near the end of a request's prompt, and the tokens up to its end; zeros for none.
 #[must_use]
 pub fn last_block(view: &View, request: &Request) -> (u64, u32) {
-    let last = request.draft.as_ref().and_then(|d| Prefixes::last(&d.blocks));
+    let last = request.draft.as_ref().and_then(|d| Prefixes::last(&d.block_hashes));
     let Some((block, blocks)) = last else { return (0, 0) };
     let target = view.entry(request.entry).map(|e| e.target);
     let model = match target {
@@ -58,23 +59,23 @@
 
 /// The transfer of a request's KV cache over an idle link.
 #[must_use]
-pub fn transfer(state: &State, request: &Request) -> Duration {
-    let token_bytes = model(state, request.entry).map_or(0, |m| m.token_bytes);
+pub fn transfer_time(state: &State, request: &Request) -> Duration {
+    let token_bytes = model_of(state, request.entry).map_or(0, |m| m.token_bytes);
     let bytes = u64::from(request.prompt_tokens()) * token_bytes;
-    let rate = first_prefill(state, request.entry).map_or(0, |e| e.link_rate);
-    over_link(bytes, rate)
+    let rate = first_prefill_endpoint(state, request.entry).map_or(0, |e| e.link_rate);
+    time_on_link(bytes, rate)
 }
 
 /// The transfer of a number of bytes between two endpoints, over idle links.
 #[must_use]
-pub fn transfer_between(state: &State, bytes: u64, a: EndpointId, b: EndpointId) -> Duration {
+pub fn transfer_time_between(state: &State, bytes: u64, a: EndpointId, b: EndpointId) -> Duration {
     let rate = |id| state.view.endpoint(id).map_or(0, |e: &Endpoint| e.link_rate);
-    over_link(bytes, rate(a)).max(over_link(bytes, rate(b)))
+    time_on_link(bytes, rate(a)).max(time_on_link(bytes, rate(b)))
 }
 
 /// Tokens a second whose KV cache an endpoint's link carries; 0 when that is not known or no matter.
 #[must_use]
-pub fn link_tokens(state: &State, endpoint: &Endpoint) -> f64 {
+pub fn link_tokens_per_second(state: &State, endpoint: &Endpoint) -> f64 {
     let EntryTarget::Model(id) = endpoint.serves else { return 0.0 };
     let token_bytes = state.view.model(id).map_or(0, |m| m.token_bytes);
     match (endpoint.role, token_bytes) {
@@ -90,23 +91,27 @@
     target.and_then(|t| state.health.lags.get(&t)).copied().unwrap_or_default()
 }
 
-fn over_link(bytes: u64, rate: u64) -> Duration {
+fn time_on_link(bytes: u64, rate: u64) -> Duration {
     if rate == 0 {
         return Duration::ZERO;
     }
     Duration::from_secs_f64(bytes as f64 / rate as f64)
 }
 
-fn rate_of(endpoint: &Endpoint) -> f64 {
-    if 0.0 < endpoint.prefill_rate { endpoint.prefill_rate } else { DEFAULT_RATE }
+fn prefill_rate_of(endpoint: &Endpoint) -> f64 {
+    if 0.0 < endpoint.prefill_rate {
+        endpoint.prefill_rate
+    } else {
+        DEFAULT_PREFILL_TOKENS_PER_SECOND
+    }
 }
 
-fn first_prefill(state: &State, entry: EntryId) -> Option<&Endpoint> {
+fn first_prefill_endpoint(state: &State, entry: EntryId) -> Option<&Endpoint> {
     let target = state.view.entry(entry)?.target;
     state.view.endpoint(*state.view.serving(target, Role::Prefill).first()?)
 }
 
-fn model(state: &State, entry: EntryId) -> Option<&ModelSpec> {
+fn model_of(state: &State, entry: EntryId) -> Option<&ModelSpec> {
     match state.view.entry(entry)?.target {
         EntryTarget::Model(id) => state.view.model(id),
         EntryTarget::Service(_) => None,
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -236,5 +236,5 @@
 }
 
 fn note(out: &mut Vec<Effect>, name: &'static str, pairs: Vec<(&'static str, String)>) {
-    out.push(Effect::Progress(Progress::Note { name, pairs }));
+    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
 }
--- a/crates/basilbank_core/src/reduce/order.rs
+++ b/crates/basilbank_core/src/reduce/order.rs
@@ -66,13 +66,15 @@
             };
             state.orders.reports.insert(endpoint, serving);
         }
-        EngineReport::Silent => {
+        EngineReport::NoResponse => {
             let Some(serving) = state.orders.reports.get_mut(&endpoint) else { return };
             serving.silent = true;
             serving.read = now.mono;
         }
-        EngineReport::Fenced { fence } => send::fenced(state, endpoint, *fence, out),
-        EngineReport::Ordered { .. } | EngineReport::Cache { .. } | EngineReport::Streams(_) => {}
+        EngineReport::OrderFenced { fence } => send::fenced(state, endpoint, *fence, out),
+        EngineReport::OrderAccepted { .. }
+        | EngineReport::Cache { .. }
+        | EngineReport::Streams(_) => {}
     }
 }
 
@@ -217,7 +219,7 @@
 
 fn note(name: &'static str, endpoint: EndpointId, version: &str, out: &mut Vec<Effect>) {
     let pairs = vec![("endpoint", endpoint.to_string()), ("version", version.to_owned())];
-    out.push(Effect::Progress(Progress::Note { name, pairs }));
+    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
 }
 
 fn read_load(endpoint: EndpointId) -> Effect {
--- a/crates/basilbank_core/src/reduce/plain.rs
+++ b/crates/basilbank_core/src/reduce/plain.rs
@@ -14,17 +14,17 @@
 /// Time limit of a call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// The shell's own time limit goes first; this much later the core stops waiting for it.
-const MARGIN: Duration = Duration::from_secs(1);
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// The slot is there: call.
-pub fn run(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn send_call(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let Some(slot) = found.slot else { return };
     found.enter(AttemptStage::Plain, now.mono);
     let key = found.request;
     state.requests.set_served(key);
     let request = &state.requests.arena[key];
-    state.timers.set(now.mono + CALL_TIMEOUT + MARGIN, Timer::Attempt(attempt));
+    state.timers.set(now.mono + CALL_TIMEOUT + TIMEOUT_MARGIN, Timer::Attempt(attempt));
     out.push(Effect::Engine(EngineCall::Plain {
         attempt,
         caller: request.caller,
@@ -35,7 +35,7 @@
 }
 
 /// A plain service answered.
-pub fn answered(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn on_answered(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (key, slot) = (found.request, found.slot);
     let took = now.mono - found.since;
@@ -51,5 +51,5 @@
     let ttft = now.mono - request.accepted;
     let progress = Progress::FirstToken { request: request.id, entry: request.entry, ttft };
     out.push(Effect::Progress(progress));
-    settle::end(state, now, &request, Outcome::Done, out);
+    settle::finish_request(state, now, &request, Outcome::Done, out);
 }
--- a/crates/basilbank_core/src/reduce/prefill.rs
+++ b/crates/basilbank_core/src/reduce/prefill.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    effect::{DraftCall, Effect, EngineCall},
+    effect::{CompletionCall, Effect, EngineCall},
     ids::{AttemptKey, EndpointId},
     reduce::{decode, estimate, place, retry},
     state::{AttemptStage, KvCache, State, Timer},
@@ -11,33 +11,33 @@
 };
 
 /// A prefill that takes this many times its estimate counts as broken.
-const PATIENCE: u32 = 3;
+const TIMEOUT_FACTOR: u32 = 3;
 /// And this much longer.
-const MARGIN: Duration = Duration::from_secs(2);
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// What a prefill endpoint reported at its end.
 #[derive(Clone, Debug)]
-pub struct Prefilled {
+pub struct PrefillResult {
     /// The KV cache's name.
     pub handle: String,
     /// Prompt tokens.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// Prompt tokens that came from the prefix cache.
-    pub cached: u32,
+    pub cached_tokens: u32,
     /// Size of the KV cache.
     pub bytes: u64,
     /// Time spent.
-    pub spent: Duration,
+    pub prefill_time: Duration,
 }
 
 /// The decode slot is there: look for a prefill slot.
-pub fn seek(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn reserve_slot(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     found.enter(AttemptStage::Queue, now.mono);
     found.placed = now.mono;
-    place::seek_prefill(state, now, attempt, out);
+    place::reserve_prefill_slots(state, now, attempt, out);
     if state.requests.attempts.get(attempt).is_some_and(|a| a.asks.is_empty()) {
-        retry::no_endpoint(state, now, attempt, out);
+        retry::on_no_endpoint(state, now, attempt, out);
     }
 }
 
@@ -45,11 +45,11 @@
 ///
 /// It may have been long in coming. A decode endpoint that has begun to leave meanwhile must get no
 /// new work, so the request looks for other slots while nothing is spent on it.
-pub fn run(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn start(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let Some(slot) = found.prefill else { return };
     if found.slot.is_some_and(|decode| state.is_leaving(decode.endpoint)) {
-        return retry::anew(state, now, attempt, out);
+        return retry::restart_attempt(state, now, attempt, out);
     }
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     found.enter(AttemptStage::Prefill, now.mono);
@@ -59,12 +59,12 @@
         .requests
         .arena
         .get(request)
-        .map(|r| estimate::prefill(state, r) + estimate::transfer(state, r));
+        .map(|r| estimate::prefill_time(state, r) + estimate::transfer_time(state, r));
     state.requests.attempts[attempt].expected = expected.unwrap_or_default();
     state.requests.set_served(request);
     let timeout = timeout(state, attempt);
     state.timers.set(now.mono + timeout, Timer::Attempt(attempt));
-    let call = call(state, attempt, slot.endpoint, timeout);
+    let call = completion_call(state, attempt, slot.endpoint, timeout);
     out.push(Effect::Engine(EngineCall::Prefill(call)));
 }
 
@@ -73,7 +73,9 @@
 pub fn timeout(state: &State, attempt: AttemptKey) -> Duration {
     let request = state.requests.attempts.get(attempt).map(|a| a.request);
     let request = request.and_then(|r| state.requests.arena.get(r));
-    request.map_or(MARGIN, |r| estimate::prefill(state, r) * PATIENCE + MARGIN)
+    request.map_or(TIMEOUT_MARGIN, |r| {
+        estimate::prefill_time(state, r) * TIMEOUT_FACTOR + TIMEOUT_MARGIN
+    })
 }
 
 /// What an endpoint needs to know of an attempt.
@@ -81,20 +83,20 @@
 /// # Panics
 /// When the attempt's key is dead.
 #[must_use]
-pub fn call(
+pub fn completion_call(
     state: &State,
     attempt: AttemptKey,
     endpoint: EndpointId,
     timeout: Duration,
-) -> DraftCall {
+) -> CompletionCall {
     let found = &state.requests.attempts[attempt];
     let request = &state.requests.arena[found.request];
     let class = state.view.entry(request.entry).and_then(|e| state.view.class(e.class));
-    DraftCall {
+    CompletionCall {
         attempt,
         caller: request.caller,
         request: request.id,
-        number: found.number,
+        attempt_number: found.number,
         endpoint,
         delivered: request.delivered,
         remaining: request.remaining(),
@@ -104,11 +106,11 @@
 }
 
 /// The prefill is done: its KV cache goes to the decode endpoint.
-pub fn done(
+pub fn on_prefilled(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
-    done: Prefilled,
+    result: PrefillResult,
     out: &mut Vec<Effect>,
 ) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
@@ -118,19 +120,19 @@
     let Some(slot) = found.prefill else { return };
     let until = now.mono + state.local.tuning.kv_life;
     let endpoint = slot.endpoint;
-    found.cache = Some(KvCache { endpoint, handle: done.handle, bytes: done.bytes, until });
-    found.spent = done.spent;
+    found.cache = Some(KvCache { endpoint, handle: result.handle, bytes: result.bytes, until });
+    found.spent = result.prefill_time;
     let request = &mut state.requests.arena[found.request];
     request.risked = true;
     if request.delivered == 0 {
-        request.prompt = done.tokens;
-        request.cached = done.cached;
+        request.prompt = result.prompt_tokens;
+        request.cached = result.cached_tokens;
     }
-    if let Some(draft) = &request.draft {
-        for block in draft.blocks.iter() {
+    if let Some(completion) = &request.draft {
+        for block in completion.block_hashes.iter() {
             state.health.prefixes.add(*block, endpoint);
         }
     }
     state.health.entry(endpoint).failures = 0;
-    decode::import(state, now, attempt, out);
+    decode::start_import(state, now, attempt, out);
 }
--- a/crates/basilbank_core/src/reduce/queue.rs
+++ b/crates/basilbank_core/src/reduce/queue.rs
@@ -13,14 +13,14 @@
 };
 
 /// The weight of an entry that is owed nothing.
-const LEAST_SHARE: f64 = 0.02;
+const MIN_SHARE: f64 = 0.02;
 
 /// A slot is taken back for a reservation that has waited for this part of the time it has.
-const PATIENCE: u32 = 4;
+const URGENT_WAIT_DIVISOR: u32 = 4;
 /// In so many times the time between two ends of leases one has most likely ended.
-const LIKELY: u32 = 2;
+const LIKELY_FREE_FACTOR: u32 = 2;
 /// A holder that has not given a slot back for this long can't: another one is asked.
-const GIVE_BACK: Duration = Duration::from_secs(1);
+const PREEMPTION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The reservation to serve next.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -39,14 +39,14 @@
     lent: bool,
     group: Group,
     /// How many times its share its entry holds; 0 below the owed share.
-    level: f64,
+    usage_ratio: f64,
     /// When it is due, or when it came if it is late.
     at: Duration,
 }
 
 /// What an entry may have of an endpoint, and has.
 #[derive(Clone, Copy, PartialEq, Debug)]
-struct Share {
+struct FairShare {
     /// Slots that it is owed.
     owed: f64,
     /// Slots by which entries are compared.
@@ -55,29 +55,29 @@
     used: f64,
 }
 
-impl Share {
-    fn of(ledger: &Ledger, view: &View, entry: EntryId) -> Share {
+impl FairShare {
+    fn of(ledger: &Ledger, view: &View, entry: EntryId) -> FairShare {
         let share = view.entry(entry).map_or(0.0, |e| e.limits.owed);
         let slots = f64::from(ledger.slots);
-        let weight = share.max(LEAST_SHARE) * slots;
-        Share { owed: share * slots, weight, used: f64::from(ledger.used_by(entry)) }
+        let weight = share.max(MIN_SHARE) * slots;
+        FairShare { owed: share * slots, weight, used: f64::from(ledger.used_by(entry)) }
     }
 }
 
 /// The reservation that gets the next free slot.
 #[must_use]
-pub fn next(ledger: &mut Ledger, view: &View, now: Now) -> Option<Choice> {
+pub fn next_reservation(ledger: &mut Ledger, view: &View, now: Now) -> Option<Choice> {
     if ledger.waiting.is_empty() || ledger.free() == 0 || now.mono < ledger.ready_at() {
         return None;
     }
     ledger.waiting.note_late(now.mono);
     let mut best: Option<(Rank, SlotKey)> = None;
-    for (entry, line) in ledger.waiting.lines() {
-        let Some((group, at, waiter)) = line.first() else { continue };
-        let share = Share::of(ledger, view, entry);
+    for (entry, queue) in ledger.waiting.lines() {
+        let Some((group, at, waiter)) = queue.first() else { continue };
+        let share = FairShare::of(ledger, view, entry);
         let lent = share.owed <= share.used;
-        let level = if lent { share.used / share.weight } else { 0.0 };
-        let rank = Rank { lent, group, level, at };
+        let usage_ratio = if lent { share.used / share.weight } else { 0.0 };
+        let rank = Rank { lent, group, usage_ratio, at };
         if best.is_none_or(|(other, _)| rank < other) {
             best = Some((rank, waiter.key));
         }
@@ -87,10 +87,10 @@
 
 /// How long a reservation will wait, as far as can be told.
 #[must_use]
-pub fn expected(ledger: &Ledger, view: &View, key: SlotKey, now: Now) -> Option<Duration> {
+pub fn estimate_wait(ledger: &Ledger, view: &View, key: SlotKey, now: Now) -> Option<Duration> {
     let waiter = ledger.waiting.get(key)?;
     let (group, ahead) = ledger.waiting.place(key)?;
-    let before = before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
+    let before = count_served_before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
     let wait = ledger.pace? * (1 + before);
     let drought = ledger.drought(now.mono);
     Some(if group == Group::Late { wait.max(drought) } else { wait })
@@ -99,23 +99,23 @@
 /// Takes out those that can't be served in the time they have, and tells how long a new one would
 /// wait behind all others.
 #[must_use]
-pub fn take_hopeless(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
+pub fn remove_infeasible(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
     let Some(pace) = ledger.pace else { return Default::default() };
     let mut waiting = std::mem::take(&mut ledger.waiting);
-    if waiting.lines().any(|(_, line)| line.has(Group::Late)) {
+    if waiting.lines().any(|(_, queue)| queue.has(Group::Late)) {
         ledger.note_late(now.mono);
     }
     // Those in time go before those that are late and come all the time, so how many there are now
     // says little about when a late one is served. How long none has been says more.
     let drought = ledger.drought(now.mono);
-    let hopeless = waiting.take(|waiting, waiter, group, ahead| {
-        let before = before(ledger, waiting, view, waiter.entry, group, ahead);
+    let infeasible = waiting.take(|waiting, waiter, group, ahead| {
+        let before = count_served_before(ledger, waiting, view, waiter.entry, group, ahead);
         let wait = pace * (1 + before);
         let wait = if group == Group::Late { wait.max(drought) } else { wait };
         waiter.until < now.mono + wait
     });
     ledger.waiting = waiting;
-    (hopeless, ledger.behind(now.mono))
+    (infeasible, ledger.behind(now.mono))
 }
 
 /// Leases to be taken back, with their holders.
@@ -124,49 +124,51 @@
 /// takes too long, because others hold them for long answers, they are taken back: from the entry that
 /// holds most of its share, and from those that were granted last, which have lost least.
 #[must_use]
-pub fn take_back(ledger: &mut Ledger, view: &View, now: Now) -> Vec<(SlotKey, VmId)> {
+pub fn select_preemptions(ledger: &mut Ledger, view: &View, now: Now) -> Vec<(SlotKey, VmId)> {
     if !ledger.resumable || 0 < ledger.free() {
         return Vec::new();
     }
-    let soon = now.mono + ledger.interval(now.mono) * LIKELY;
+    let soon = now.mono + ledger.interval(now.mono) * LIKELY_FREE_FACTOR;
     let urgent: usize = ledger
         .waiting
         .lines()
-        .map(|(e, line)| {
-            let share = Share::of(ledger, view, e);
-            let room = (share.owed - share.used).max(0.0) as usize;
-            line.iter().take(room).filter(|(group, w)| is_urgent(*group, w, now, soon)).count()
+        .map(|(e, queue)| {
+            let share = FairShare::of(ledger, view, e);
+            let unused = (share.owed - share.used).max(0.0) as usize;
+            queue.iter().take(unused).filter(|(group, w)| is_urgent(*group, w, now, soon)).count()
         })
         .sum();
-    let asked = |lease: &Lease| lease.preempted.is_some_and(|at| now.mono < at + GIVE_BACK);
-    let coming = ledger.leases.values().filter(|lease| asked(lease)).count();
-    let mut taken = Vec::new();
-    for _ in coming..urgent {
-        let Some(key) = victim(ledger, view) else { break };
+    let is_pending =
+        |lease: &Lease| lease.preempted.is_some_and(|at| now.mono < at + PREEMPTION_TIMEOUT);
+    let pending = ledger.leases.values().filter(|lease| is_pending(lease)).count();
+    let mut preempted = Vec::new();
+    for _ in pending..urgent {
+        let Some(key) = select_victim(ledger, view) else { break };
         let Some(lease) = ledger.leases.get_mut(&key) else { break };
         lease.preempted = Some(now.mono);
-        taken.push((key, lease.vm));
+        preempted.push((key, lease.vm));
     }
-    taken
+    preempted
 }
 
 /// Whether a slot is taken back for a reservation: it has used up much of its time, and is due before
 /// one will have come free by itself.
 fn is_urgent(group: Group, waiter: &Waiter, now: Now, soon: Duration) -> bool {
-    let patience = waiter.due.saturating_sub(waiter.since) / PATIENCE;
-    let has_waited = waiter.since + patience <= now.mono;
+    let min_wait = waiter.due.saturating_sub(waiter.since) / URGENT_WAIT_DIVISOR;
+    let has_waited = waiter.since + min_wait <= now.mono;
     group != Group::Late && waiter.first && has_waited && waiter.due < soon
 }
 
-fn victim(ledger: &Ledger, view: &View) -> Option<SlotKey> {
-    let over = |entry: EntryId| {
-        let share = Share::of(ledger, view, entry);
-        let asked = ledger.leases.values().filter(|l| l.entry == entry && l.preempted.is_some());
-        let used = share.used - asked.count() as f64;
+fn select_victim(ledger: &Ledger, view: &View) -> Option<SlotKey> {
+    let over_share = |entry: EntryId| {
+        let share = FairShare::of(ledger, view, entry);
+        let preempted =
+            ledger.leases.values().filter(|l| l.entry == entry && l.preempted.is_some());
+        let used = share.used - preempted.count() as f64;
         (share.owed + 1.0 <= used).then_some(used / share.weight)
     };
-    let most = ledger.used.keys().filter_map(|entry| Some((over(*entry)?, *entry)));
-    let (_, entry) = most.max_by(|a, b| a.partial_cmp(b).expect("no NaN"))?;
+    let candidates = ledger.used.keys().filter_map(|entry| Some((over_share(*entry)?, *entry)));
+    let (_, entry) = candidates.max_by(|a, b| a.partial_cmp(b).expect("no NaN"))?;
     let of_entry = ledger.leases.iter().filter(|(_, l)| l.entry == entry && l.preempted.is_none());
     of_entry.max_by_key(|(key, l)| (l.since, **key)).map(|(key, _)| *key)
 }
@@ -175,7 +177,7 @@
 ///
 /// Entries take turns by what they hold of their shares, so of each other entry only as many count as
 /// bring it to the same level.
-fn before(
+fn count_served_before(
     ledger: &Ledger,
     waiting: &Waiting,
     view: &View,
@@ -183,17 +185,17 @@
     group: Group,
     ahead: usize,
 ) -> u32 {
-    let share = Share::of(ledger, view, entry);
+    let share = FairShare::of(ledger, view, entry);
     let used = share.used + ahead as f64;
     if used < share.owed {
         return ahead as u32;
     }
-    let level = used / share.weight;
+    let usage_ratio = used / share.weight;
     let others = waiting.lines().filter(|(other, _)| *other != entry);
-    let turns = others.map(|(other, line)| {
-        let share = Share::of(ledger, view, other);
-        let turns = (level * share.weight - share.used).ceil().max(0.0);
-        turns.min(line.up_to(group) as f64)
+    let turns = others.map(|(other, queue)| {
+        let share = FairShare::of(ledger, view, other);
+        let turns = (usage_ratio * share.weight - share.used).ceil().max(0.0);
+        turns.min(queue.up_to(group) as f64)
     });
     ahead as u32 + turns.sum::<f64>() as u32
 }
--- a/crates/basilbank_core/src/reduce/reap.rs
+++ b/crates/basilbank_core/src/reduce/reap.rs
@@ -86,7 +86,8 @@
 /// itself, and no error is seen anywhere.
 pub fn remember(state: &mut State, now: Now, effects: &[Effect]) {
     for effect in effects {
-        let Effect::Engine(EngineCall::Cancel { endpoint, request, held, .. }) = effect else {
+        let Effect::Engine(EngineCall::Cancel { endpoint, request, resource: held, .. }) = effect
+        else {
             continue;
         };
         if state.view.endpoint(*endpoint).is_none_or(|e| e.role == Role::Plain) {
@@ -132,7 +133,7 @@
         ("owner", info.vm.to_string()),
         ("idle_ms", info.idle.as_millis().to_string()),
     ];
-    out.push(Effect::Progress(Progress::Note { name, pairs }));
+    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
     out.push(Effect::Engine(EngineCall::Reap {
         endpoint,
         stream: info.stream.clone(),
@@ -162,7 +163,7 @@
     if !members.may_decide() || members.steward(endpoint.0) != Some(members.own) {
         return None;
     }
-    if info.kv {
+    if info.is_kv_cache {
         return (KV_LIMIT <= info.idle && is_gone(state, info)).then_some(Cause::Orphaned);
     }
     if local.tuning.unread_limit <= info.idle {
--- a/crates/basilbank_core/src/reduce/reserve.rs
+++ b/crates/basilbank_core/src/reduce/reserve.rs
@@ -14,36 +14,36 @@
 };
 
 /// Stewards without a slot in time after which no other is asked: the rest is as full.
-const FULL_DENIALS: usize = 2;
+const MAX_FULL_DENIALS: usize = 2;
 /// A waiting reservation is sent again after this, in case it or its grant was lost.
-const RESEND: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What a slot is wanted for.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct SlotTerms {
     /// Tokens expected to be held or prefilled.
     pub tokens: u32,
     /// Tokens whose KV cache leaves the endpoint afterwards.
-    pub sent: u32,
+    pub transfer_tokens: u32,
     /// From the grant until its use.
     pub lead: Duration,
     /// How long it may wait.
-    pub until: Duration,
+    pub deadline: Duration,
 }
 
 /// Asks an endpoint's steward for a slot.
-pub fn ask(
+pub fn request_slot(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
     endpoint: EndpointId,
-    terms: Terms,
+    terms: SlotTerms,
     out: &mut Vec<Effect>,
 ) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let cached = match found.stage {
         AttemptStage::Queue => {
-            estimate::cached(state, &state.requests.arena[found.request], endpoint)
+            estimate::cached_tokens(state, &state.requests.arena[found.request], endpoint)
         }
         _ => 0,
     };
@@ -60,19 +60,19 @@
         first,
         entry: request.entry,
         tokens: terms.tokens.saturating_sub(cached),
-        sent: terms.sent,
-        lead: millis(terms.lead),
+        sent: terms.transfer_tokens,
+        lead: to_millis(terms.lead),
         held: false,
         asked: now.mono,
         asks: 0,
-        until: terms.until,
+        until: terms.deadline,
     };
     state.slots.own.insert(key, own);
-    send(state, now, key, out);
+    send_reservation(state, now, key, out);
 }
 
-fn send(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
-    let Some(steward) = state.members.steward(key.endpoint.0) else { return };
+fn send_reservation(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
+    let Some(owner) = state.members.steward(key.endpoint.0) else { return };
     let Some(own) = state.slots.own.get_mut(&key) else { return };
     let Some(attempt) = state.requests.attempts.get(own.attempt) else { return };
     own.asked = now.mono;
@@ -89,8 +89,8 @@
         attempt: key.attempt,
         entry: own.entry.0,
         tokens: own.tokens,
-        wait: millis(own.until.saturating_sub(now.mono)),
-        slack: signed_millis(now.mono, due),
+        wait: to_millis(own.until.saturating_sub(now.mono)),
+        slack: to_signed_millis(now.mono, due),
         lead: own.lead,
         sent: own.sent,
         block,
@@ -98,33 +98,33 @@
         begun: 0 < request.delivered,
         first: own.first,
     };
-    peer::say(state, steward, Body::Reserve(reserve), out);
+    peer::say(state, owner, Body::Reserve(reserve), out);
 }
 
 /// Gives a slot, or the wait for it, back.
 pub fn release(state: &mut State, key: SlotKey, out: &mut Vec<Effect>) {
-    give_back(state, key, release_of(key), out);
+    send_release(state, key, release_message(key), out);
 }
 
 /// Gives a slot back after a call that failed. The steward hears of a refusal as full, for it granted a
 /// slot that was not there.
 pub fn release_failed(state: &mut State, key: SlotKey, failure: Failure, out: &mut Vec<Effect>) {
-    let release = Release { full: failure == Failure::Full, ..release_of(key) };
-    give_back(state, key, release, out);
+    let release = Release { full: failure == Failure::Full, ..release_message(key) };
+    send_release(state, key, release, out);
 }
 
 /// Gives a slot back whose use ended in a stalled transfer from or to another endpoint.
 pub fn release_stalled(state: &mut State, key: SlotKey, other: EndpointId, out: &mut Vec<Effect>) {
-    let release = Release { stalled: other.0, ..release_of(key) };
-    give_back(state, key, release, out);
+    let release = Release { stalled: other.0, ..release_message(key) };
+    send_release(state, key, release, out);
 }
 
-fn give_back(state: &mut State, key: SlotKey, release: Release, out: &mut Vec<Effect>) {
+fn send_release(state: &mut State, key: SlotKey, release: Release, out: &mut Vec<Effect>) {
     if state.slots.own.remove(&key).is_none() {
         return;
     }
-    let Some(steward) = state.members.steward(key.endpoint.0) else { return };
-    peer::say(state, steward, Body::Release(release), out);
+    let Some(owner) = state.members.steward(key.endpoint.0) else { return };
+    peer::say(state, owner, Body::Release(release), out);
 }
 
 /// Withdraws all that an attempt waits for.
@@ -136,7 +136,7 @@
 }
 
 /// Gives an attempt a new key and number; the slots that it holds go with it, under their old names.
-pub fn renew(state: &mut State, attempt: AttemptKey) -> AttemptKey {
+pub fn renew_attempt(state: &mut State, attempt: AttemptKey) -> AttemptKey {
     let attempt = state.requests.renew(attempt);
     let found = &state.requests.attempts[attempt];
     for slot in [found.slot, found.prefill].into_iter().flatten() {
@@ -148,7 +148,7 @@
 }
 
 /// Registers a slot that is in use without having been asked for: a stream that is read on.
-pub fn adopt(
+pub fn adopt_slot(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
@@ -173,11 +173,11 @@
         until: now.mono,
     };
     state.slots.own.insert(key, own);
-    tell(state, endpoint, out);
+    send_holds(state, endpoint, out);
 }
 
 /// A steward granted a slot.
-pub fn granted(state: &mut State, now: Now, from: VmId, grant: &Grant, out: &mut Vec<Effect>) {
+pub fn on_granted(state: &mut State, now: Now, from: VmId, grant: &Grant, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(grant.endpoint),
         request: RequestId(grant.request),
@@ -189,7 +189,7 @@
     let Some(own) = state.slots.own.get_mut(&key) else {
         // The request took another slot or ended: without this answer the slot would stay leased
         // until the next list of holds.
-        peer::say(state, from, Body::Release(release_of(key)), out);
+        peer::say(state, from, Body::Release(release_message(key)), out);
         return;
     };
     if own.held {
@@ -203,11 +203,11 @@
         found.plan.clear();
     }
     withdraw(state, attempt, out);
-    place::granted(state, now, attempt, key, out);
+    place::on_granted(state, now, attempt, key, out);
 }
 
 /// A steward denied a slot.
-pub fn denied(state: &mut State, now: Now, deny: &Deny, out: &mut Vec<Effect>) {
+pub fn on_denied(state: &mut State, now: Now, deny: &Deny, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(deny.endpoint),
         request: RequestId(deny.request),
@@ -219,8 +219,8 @@
     if is_full {
         state.health.entry(key.endpoint).full = Some(now.mono + retry);
     }
-    let waits = state.slots.own.get(&key).is_some_and(|own| !own.held);
-    if !waits {
+    let is_waiting = state.slots.own.get(&key).is_some_and(|own| !own.held);
+    if !is_waiting {
         return;
     }
     let Some(own) = state.slots.own.remove(&key) else { return };
@@ -230,41 +230,42 @@
     if !found.asks.is_empty() {
         return;
     }
-    let most = if is_full { FULL_DENIALS } else { usize::MAX };
-    place::ask_others(state, now, own.attempt, most, out);
+    let max_denials = if is_full { MAX_FULL_DENIALS } else { usize::MAX };
+    place::reserve_next(state, now, own.attempt, max_denials, out);
     if state.requests.attempts.get(own.attempt).is_some_and(|a| a.asks.is_empty()) {
-        retry::unplaced(state, now, own.attempt, reason, retry, out);
+        retry::on_all_denied(state, now, own.attempt, reason, retry, out);
     }
 }
 
 /// A steward takes a slot back.
-pub fn preempted(state: &mut State, now: Now, preempt: &Preempt, out: &mut Vec<Effect>) {
+pub fn on_preempted(state: &mut State, now: Now, preempt: &Preempt, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(preempt.endpoint),
         request: RequestId(preempt.request),
         attempt: preempt.attempt,
     };
     let Some(own) = state.slots.own.get(&key) else { return };
-    retry::preempted(state, now, own.attempt, key, out);
+    retry::on_preempted(state, now, own.attempt, key, out);
 }
 
 /// Sends reservations again that wait, and renews what is held.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let waiting = state.slots.own.iter().filter(|(_, own)| !own.held);
-    let stale = waiting.filter(|(_, own)| own.asked + RESEND * own.asks.min(5) <= now.mono);
+    let stale =
+        waiting.filter(|(_, own)| own.asked + RESEND_INTERVAL * own.asks.min(5) <= now.mono);
     let stale: Vec<_> = stale.map(|(key, own)| (*key, own.attempt)).collect();
     for (key, attempt) in stale {
-        note_queued(state, attempt, key, out);
-        send(state, now, key, out);
-        place::widen(state, now, attempt, out);
+        log_queued(state, attempt, key, out);
+        send_reservation(state, now, key, out);
+        place::widen_search(state, now, attempt, out);
     }
     if state.slots.told + state.local.tuning.slot_lease / 3 <= now.mono {
         state.slots.told = now.mono;
-        tell_all(state, out);
+        send_all_holds(state, out);
     }
 }
 
-fn note_queued(state: &State, attempt: AttemptKey, key: SlotKey, out: &mut Vec<Effect>) {
+fn log_queued(state: &State, attempt: AttemptKey, key: SlotKey, out: &mut Vec<Effect>) {
     let first = state.requests.attempts.get(attempt).is_some_and(|a| a.asks.first() == Some(&key));
     if first && state.slots.own[&key].asks == 1 {
         out.push(Effect::Progress(Progress::Queued { request: key.request }));
@@ -272,26 +273,26 @@
 }
 
 /// Tells the stewards what is held, also where nothing is any more.
-fn tell_all(state: &mut State, out: &mut Vec<Effect>) {
+fn send_all_holds(state: &mut State, out: &mut Vec<Effect>) {
     let mut endpoints: Vec<_> = state.slots.known.keys().copied().collect();
     endpoints.extend(state.slots.held().map(|(key, _)| key.endpoint));
     endpoints.sort_unstable();
     endpoints.dedup();
     for endpoint in endpoints {
-        tell(state, endpoint, out);
+        send_holds(state, endpoint, out);
     }
 }
 
 /// Tells an endpoint's steward what is held there.
-pub fn tell(state: &mut State, endpoint: EndpointId, out: &mut Vec<Effect>) {
-    let Some(steward) = state.members.steward(endpoint.0) else { return };
+pub fn send_holds(state: &mut State, endpoint: EndpointId, out: &mut Vec<Effect>) {
+    let Some(owner) = state.members.steward(endpoint.0) else { return };
     let holds = holds_at(state, endpoint);
     if holds.holds.is_empty() {
         state.slots.known.remove(&endpoint);
     } else {
-        state.slots.known.insert(endpoint, steward);
+        state.slots.known.insert(endpoint, owner);
     }
-    peer::say(state, steward, Body::Holds(holds), out);
+    peer::say(state, owner, Body::Holds(holds), out);
 }
 
 /// What this daemon holds at an endpoint.
@@ -307,21 +308,21 @@
 }
 
 /// Stewardships may have moved: new stewards hear at once what is held and what waits.
-pub fn members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+pub fn on_members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let known = &state.slots.known;
     let moved = known.iter().filter(|(e, vm)| state.members.steward(e.0) != Some(**vm));
     let moved: Vec<_> = moved.map(|(endpoint, _)| *endpoint).collect();
     for endpoint in moved {
-        tell(state, endpoint, out);
+        send_holds(state, endpoint, out);
     }
     let waiting = state.slots.own.iter().filter(|(_, own)| !own.held);
     let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
     for key in waiting {
-        send(state, now, key, out);
+        send_reservation(state, now, key, out);
     }
 }
 
-fn release_of(key: SlotKey) -> Release {
+fn release_message(key: SlotKey) -> Release {
     Release {
         endpoint: key.endpoint.0,
         request: key.request.0,
@@ -330,12 +331,12 @@
     }
 }
 
-fn millis(duration: Duration) -> u32 {
+fn to_millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
 /// Milliseconds from one moment to another; negative when that has passed.
-fn signed_millis(from: Duration, to: Duration) -> i32 {
+fn to_signed_millis(from: Duration, to: Duration) -> i32 {
     let ahead = i32::try_from(to.saturating_sub(from).as_millis()).unwrap_or(i32::MAX);
     let behind = i32::try_from(from.saturating_sub(to).as_millis()).unwrap_or(i32::MAX);
     if ahead == 0 { -behind } else { ahead }
--- a/crates/basilbank_core/src/reduce/resume.rs
+++ b/crates/basilbank_core/src/reduce/resume.rs
@@ -10,7 +10,7 @@
 };
 
 /// Times that one stream is read again without a token coming.
-pub const REREADS: u32 = 2;
+pub const MAX_REREADS: u32 = 2;
 
 /// Reads the stream that a caller's cursor names.
 pub fn start(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
@@ -20,7 +20,7 @@
     let resume = request.draft.as_ref().and_then(|d| d.resume.clone());
     let known = resume.filter(|r| state.view.endpoint(r.endpoint).is_some());
     let Some(resume) = known else {
-        return gone(state, now, key, out);
+        return end_missing_stream(state, now, key, out);
     };
     let attempt = state.requests.begin(key, now.mono);
     state.requests.set_served(key);
@@ -28,30 +28,30 @@
     found.resumed = true;
     found.taken = resume.offset;
     found.stream = Some(resume.stream);
-    reserve::adopt(state, now, attempt, resume.endpoint, entry, out);
-    read(state, now, attempt, out);
+    reserve::adopt_slot(state, now, attempt, resume.endpoint, entry, out);
+    read_stream(state, now, attempt, out);
 }
 
 /// The stream to be read is not there any more.
 ///
 /// Who asked by idempotency key did not ask for a stream but for the answer of the key's first request.
 /// To be refused would tell it that nothing was run, and it would send its request under a new key.
-pub fn gone(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
+pub fn end_missing_stream(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     if state.requests.arena[key].joined {
-        settle::unknown(state, now, key, out);
+        settle::end_as_unknown(state, now, key, out);
     } else {
         settle::refuse(state, now, key, Refusal::StreamGone, out);
     }
 }
 
 /// Reads an attempt's stream again from the first token that is missing.
-pub fn again(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let attempt = reserve::renew(state, attempt);
+pub fn reread_stream(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+    let attempt = reserve::renew_attempt(state, attempt);
     state.requests.attempts[attempt].rereads += 1;
-    read(state, now, attempt, out);
+    read_stream(state, now, attempt, out);
 }
 
-fn read(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+fn read_stream(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let found = &mut state.requests.attempts[attempt];
     found.enter(AttemptStage::Stream, now.mono);
     found.heard = now.mono;
--- a/crates/basilbank_core/src/reduce/retry/wait.rs
+++ b/crates/basilbank_core/src/reduce/retry/wait.rs
@@ -4,7 +4,7 @@
 
 use basilbank_wire::DenyReason;
 
-use super::evicted;
+use super::on_cache_evicted;
 use crate::{
     effect::{Effect, Progress},
     ids::{AttemptKey, RequestKey},
@@ -15,19 +15,19 @@
 };
 
 /// Pause before a draft that found no prefill slot asks for a decode slot again.
-pub(super) const GIVE_WAY: Duration = Duration::from_millis(250);
+pub(super) const PREFILL_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// It grows with each time, up to this many times.
-const LONGEST_WAY: u32 = 8;
+const MAX_PAUSE_FACTOR: u32 = 8;
 /// A refused caller is told to come back no sooner than after this: what is full now is full in a
 /// moment, and callers who come back at once keep it so.
-const SOONEST: Duration = Duration::from_millis(250);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// And no later.
-const LATEST: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// Pause before a steward is asked again that could not decide.
-const STEWARD_PAUSE: Duration = Duration::from_millis(50);
+const UNDECIDED_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Every steward that was asked has denied a slot.
-pub fn unplaced(
+pub fn on_all_denied(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
@@ -38,47 +38,49 @@
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (key, stage) = (found.request, found.stage);
     if stage == AttemptStage::Move {
-        return evicted(state, now, attempt, out);
+        return on_cache_evicted(state, now, attempt, out);
     }
     let until = state.requests.arena[key].until;
     let is_undecided = !matches!(reason, DenyReason::Full | DenyReason::Owed);
-    if is_undecided && now.mono + STEWARD_PAUSE < until {
-        let pause = STEWARD_PAUSE.mul_f64(0.5 + state.rng.unit());
-        return later(state, now, key, pause, out);
+    if is_undecided && now.mono + UNDECIDED_RETRY_PAUSE < until {
+        let pause = UNDECIDED_RETRY_PAUSE.mul_f64(0.5 + state.rng.unit());
+        return schedule_attempt(state, now, key, pause, out);
     }
-    if stage == AttemptStage::Queue && now.mono + retry.max(GIVE_WAY) < until {
+    if stage == AttemptStage::Queue && now.mono + retry.max(PREFILL_RETRY_PAUSE) < until {
         // It held a decode slot in vain: others come first now, and it waits behind them.
-        let longer = GIVE_WAY * state.requests.arena[key].attempts.min(LONGEST_WAY);
-        let pause = longer.mul_f64(0.5 + state.rng.unit());
-        note(state, key, Retry::NoSlot, pause, out);
-        return later(state, now, key, pause, out);
+        let longest =
+            PREFILL_RETRY_PAUSE * state.requests.arena[key].attempts.min(MAX_PAUSE_FACTOR);
+        let pause = longest.mul_f64(0.5 + state.rng.unit());
+        log_retry(state, key, Retry::NoSlot, pause, out);
+        return schedule_attempt(state, now, key, pause, out);
     }
-    let refusal = if is_undecided { Refusal::NoEndpoint } else { place::refusal_of(state, key) };
-    let after = retry.clamp(SOONEST, LATEST);
-    settle::give_up(state, now, key, refusal, Some(after), out);
+    let refusal =
+        if is_undecided { Refusal::NoEndpoint } else { place::refusal_reason(state, key) };
+    let retry_after = retry.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+    settle::give_up(state, now, key, refusal, Some(retry_after), out);
 }
 
 /// No endpoint can be asked now.
-pub fn no_endpoint(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn on_no_endpoint(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let key = state.requests.attempts[attempt].request;
     let request = &state.requests.arena[key];
-    let exists = state.view.entry(request.entry).is_some();
+    let has_entry = state.view.entry(request.entry).is_some();
     let pause = state.local.tuning.max_backoff.mul_f64(0.5 + 0.5 * state.rng.unit());
-    if exists && now.mono + pause < request.until {
-        return later(state, now, key, pause, out);
+    if has_entry && now.mono + pause < request.until {
+        return schedule_attempt(state, now, key, pause, out);
     }
     settle::give_up(state, now, key, Refusal::NoEndpoint, Some(pause), out);
 }
 
 /// Gives an attempt's slots back and looks for others, before anything was sent.
-pub fn anew(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn restart_attempt(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(key) = state.requests.attempts.get(attempt).map(|a| a.request) else { return };
-    settle::drop_attempt(state, attempt, out);
+    settle::end_attempt(state, attempt, out);
     state.requests.set_queued(key);
-    place::start(state, now, key, out);
+    place::start_attempt(state, now, key, out);
 }
 
-pub(super) fn later(
+pub(super) fn schedule_attempt(
     state: &mut State,
     now: Now,
     key: RequestKey,
@@ -86,21 +88,21 @@
     out: &mut Vec<Effect>,
 ) {
     if let Some((attempt, _)) = state.requests.current(key) {
-        settle::drop_attempt(state, attempt, out);
+        settle::end_attempt(state, attempt, out);
     }
     state.requests.set_queued(key);
     state.timers.set(now.mono + pause, Timer::Request(key));
 }
 
 /// Starts a request anew after a pause, if its attempts and the retry budget allow it.
-pub(super) fn again(
+pub(super) fn retry_after_backoff(
     state: &mut State,
     now: Now,
     key: RequestKey,
     retry: Retry,
     out: &mut Vec<Effect>,
 ) {
-    if !may_retry(state, key) {
+    if !take_retry(state, key) {
         return settle::give_up(state, now, key, Refusal::RetriesSpent, None, out);
     }
     let request = &state.requests.arena[key];
@@ -108,12 +110,12 @@
     let tuning = &state.local.tuning;
     let doubled = tuning.backoff * 2u32.saturating_pow(request.failures.saturating_sub(1).min(16));
     let backoff = doubled.min(tuning.max_backoff).mul_f64(0.5 + 0.5 * state.rng.unit());
-    note(state, key, retry, backoff, out);
-    later(state, now, key, backoff, out);
+    log_retry(state, key, retry, backoff, out);
+    schedule_attempt(state, now, key, backoff, out);
 }
 
 /// Takes one retry from the request's attempts and from the budget.
-pub(super) fn may_retry(state: &mut State, key: RequestKey) -> bool {
+pub(super) fn take_retry(state: &mut State, key: RequestKey) -> bool {
     let request = &mut state.requests.arena[key];
     request.failures += 1;
     if state.local.tuning.attempts <= request.failures || state.requests.budget < 1.0 {
@@ -123,7 +125,7 @@
     true
 }
 
-pub(super) fn note(
+pub(super) fn log_retry(
     state: &State,
     key: RequestKey,
     retry: Retry,
--- a/crates/basilbank_core/src/reduce/settle.rs
+++ b/crates/basilbank_core/src/reduce/settle.rs
@@ -6,29 +6,29 @@
     effect::{Answer, Effect, EngineCall, Progress},
     ids::{AttemptKey, CallerId, EndpointId, RequestKey},
     reason::{Outcome, Refusal, Waste},
-    reduce::{charge, claim, limit, reserve},
+    reduce::{claim, limit, reserve, waste},
     state::{AttemptStage, Request, RequestStage, State},
     time::Now,
 };
 
 /// When a caller should come back after a refusal that knows nothing better.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Most retries that successes can save up.
-const MOST_BUDGET: f64 = 50.0;
+const MAX_RETRY_BUDGET: f64 = 50.0;
 
 /// The caller left: cancel what is held for it.
-pub fn abandoned(state: &mut State, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
+pub fn on_caller_left(state: &mut State, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
     let Some(key) = state.requests.callers.get(&caller).copied() else { return };
     if let RequestStage::Running(attempt) = state.requests.arena[key].stage {
         let found = &state.requests.attempts[attempt];
         let is_read = found.stage == AttemptStage::Stream && 0 < found.taken;
         if !is_read {
-            charge::prefill(state, now, attempt, Waste::CallerLeft, out);
+            waste::record_prefill(state, now, attempt, Waste::CallerLeft, out);
         }
-        drop_attempt(state, attempt, out);
+        end_attempt(state, attempt, out);
     }
     let Some(request) = state.requests.remove(key) else { return };
-    end(state, now, &request, Outcome::Abandoned, out);
+    finish_request(state, now, &request, Outcome::Abandoned, out);
 }
 
 /// Refuses an accepted request of which nothing was run.
@@ -39,28 +39,28 @@
     refusal: Refusal,
     out: &mut Vec<Effect>,
 ) {
-    let after = refusal.is_temporary().then_some(COME_BACK);
-    refuse_until(state, now, key, refusal, after, out);
+    let retry_after = refusal.is_temporary().then_some(DEFAULT_RETRY_AFTER);
+    refuse_with_retry_after(state, now, key, refusal, retry_after, out);
 }
 
 /// Refuses an accepted request of which nothing was run, and says when to come back.
-pub fn refuse_until(
+pub fn refuse_with_retry_after(
     state: &mut State,
     now: Now,
     key: RequestKey,
     refusal: Refusal,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     out: &mut Vec<Effect>,
 ) {
-    drop_current(state, key, out);
+    end_current_attempt(state, key, out);
     let Some(request) = state.requests.remove(key) else { return };
-    let answer = Answer::Refused { refusal, after };
+    let answer = Answer::Refused { refusal, retry_after };
     out.push(Effect::Answer { caller: request.caller, answer });
     let progress =
         Progress::Refused { request: Some(request.id), team: Some(request.team), refusal };
     out.push(Effect::Progress(progress));
     let outcome = if request.risked { Outcome::Unknown } else { Outcome::NotRun };
-    end(state, now, &request, outcome, out);
+    finish_request(state, now, &request, outcome, out);
 }
 
 /// Gives a request up: refuses it if nothing of it can have run, else says that it is unknown.
@@ -69,34 +69,34 @@
     now: Now,
     key: RequestKey,
     refusal: Refusal,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     out: &mut Vec<Effect>,
 ) {
     let Some(request) = state.requests.arena.get(key) else { return };
     if request.risked {
-        unknown(state, now, key, out);
+        end_as_unknown(state, now, key, out);
     } else {
-        refuse_until(state, now, key, refusal, after, out);
+        refuse_with_retry_after(state, now, key, refusal, retry_after, out);
     }
 }
 
 /// A request may have run and can't be finished.
-pub fn unknown(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
-    drop_current(state, key, out);
+pub fn end_as_unknown(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
+    end_current_attempt(state, key, out);
     let Some(request) = state.requests.remove(key) else { return };
     out.push(Effect::Answer { caller: request.caller, answer: Answer::Unknown });
-    end(state, now, &request, Outcome::Unknown, out);
+    finish_request(state, now, &request, Outcome::Unknown, out);
 }
 
-fn drop_current(state: &mut State, key: RequestKey, out: &mut Vec<Effect>) {
+fn end_current_attempt(state: &mut State, key: RequestKey, out: &mut Vec<Effect>) {
     if let Some((attempt, _)) = state.requests.current(key) {
-        drop_attempt(state, attempt, out);
+        end_attempt(state, attempt, out);
     }
 }
 
 /// Ends an attempt: cancels what endpoints hold for it, and gives its slots back.
-pub fn drop_attempt(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    cancel(state, attempt, out);
+pub fn end_attempt(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
+    cancel_at_endpoints(state, attempt, out);
     reserve::withdraw(state, attempt, out);
     let Some(found) = state.requests.attempts.remove(attempt) else { return };
     for slot in [found.slot, found.prefill].into_iter().flatten() {
@@ -108,11 +108,11 @@
 }
 
 /// Cancels what endpoints hold for an attempt.
-pub fn cancel(state: &State, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn cancel_at_endpoints(state: &State, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let request = state.requests.arena[found.request].id;
-    let mut push = |endpoint: EndpointId, held: Option<String>| {
-        out.push(Effect::Engine(EngineCall::Cancel { attempt, endpoint, request, held }));
+    let mut push = |endpoint: EndpointId, resource: Option<String>| {
+        out.push(Effect::Engine(EngineCall::Cancel { attempt, endpoint, request, resource }));
     };
     let (slot, prefill) = (found.slot.map(|s| s.endpoint), found.prefill.map(|s| s.endpoint));
     match (found.stage, slot, prefill) {
@@ -127,7 +127,7 @@
 }
 
 /// What is done at every end.
-pub fn end(
+pub fn finish_request(
     state: &mut State,
     now: Now,
     request: &Request,
@@ -136,7 +136,7 @@
 ) {
     if outcome == Outcome::Done {
         let ratio = state.local.tuning.retry_ratio;
-        state.requests.budget = (state.requests.budget + ratio).min(MOST_BUDGET);
+        state.requests.budget = (state.requests.budget + ratio).min(MAX_RETRY_BUDGET);
     }
     let is_resumed = request.draft.as_ref().is_some_and(|d| d.resume.is_some());
     let prompt = if 0 < request.delivered && !is_resumed { request.prompt } else { 0 };
@@ -147,15 +147,15 @@
         (Some(first), Some(last)) => last - first,
         _ => Duration::ZERO,
     };
-    let gaps = request.delivered.saturating_sub(1).max(1);
+    let intervals = request.delivered.saturating_sub(1).max(1);
     out.push(Effect::Progress(Progress::Settled {
         request: request.id,
         team: request.team,
         entry: request.entry,
         outcome,
-        took: now.mono - request.accepted,
-        prompt,
-        generated: request.delivered,
-        tbt: streamed / gaps,
+        duration: now.mono - request.accepted,
+        prompt_tokens: prompt,
+        generated_tokens: request.delivered,
+        tbt: streamed / intervals,
     }));
 }
--- a/crates/basilbank_core/src/reduce/slots.rs
+++ b/crates/basilbank_core/src/reduce/slots.rs
@@ -11,7 +11,7 @@
 use crate::{
     effect::{Effect, Progress},
     ids::{EndpointId, EntryId, RequestId, VmId},
-    reduce::{load, order, peer, queue, reserve},
+    reduce::{health, order, peer, queue, reserve},
     state::{Group, Lease, Ledger, SlotKey, State, Timer, Waiter},
     time::Now,
 };
@@ -49,7 +49,7 @@
     if ledger.waiting.place(key).is_some_and(|(group, _)| group == Group::Late) {
         ledger.note_late(now.mono);
     }
-    let Some(wait) = queue::expected(ledger, &state.view, key, now) else { return };
+    let Some(wait) = queue::estimate_wait(ledger, &state.view, key, now) else { return };
     if ledger.waiting.get(key).is_none_or(|w| now.mono + wait <= w.until) {
         return;
     }
@@ -101,7 +101,7 @@
     }
     loop {
         let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-        let Some(choice) = queue::next(ledger, &state.view, now) else { break };
+        let Some(choice) = queue::next_reservation(ledger, &state.view, now) else { break };
         let Some(waiter) = ledger.waiting.remove(choice.key) else { break };
         let lease = Lease {
             vm: waiter.vm,
@@ -164,7 +164,7 @@
 /// elsewhere, and their callers learn it now and not at the end of the wait.
 fn drop_hopeless(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-    let (hopeless, wait) = queue::take_hopeless(ledger, &state.view, now);
+    let (hopeless, wait) = queue::remove_infeasible(ledger, &state.view, now);
     for waiter in hopeless {
         deny(state, waiter.key, waiter.vm, DenyReason::Full, wait, out);
     }
@@ -173,7 +173,7 @@
 /// Takes lent slots back for entries that are owed them and would miss their targets else.
 fn preempt(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-    for (key, vm) in queue::take_back(ledger, &state.view, now) {
+    for (key, vm) in queue::select_preemptions(ledger, &state.view, now) {
         let (endpoint, request, attempt) = (key.endpoint.0, key.request.0, key.attempt);
         let preempt = Preempt { endpoint, request, attempt };
         peer::say(state, vm, Body::Preempt(preempt), out);
@@ -184,7 +184,7 @@
 pub fn released(state: &mut State, now: Now, from: VmId, release: &Release, out: &mut Vec<Effect>) {
     let endpoint = EndpointId(release.endpoint);
     if release.stalled != 0 {
-        load::stalled(state, now, endpoint, from, EndpointId(release.stalled), out);
+        health::on_transfer_stalled(state, now, endpoint, from, EndpointId(release.stalled), out);
     }
     let key = SlotKey { endpoint, request: RequestId(release.request), attempt: release.attempt };
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
@@ -238,7 +238,7 @@
     }
     if !over.is_empty() {
         let pairs = vec![("endpoint", endpoint.to_string()), ("leases", over.len().to_string())];
-        out.push(Effect::Progress(Progress::Note { name: "slot_leases_expired", pairs }));
+        out.push(Effect::Progress(Progress::Note { name: "slot_leases_expired", fields: pairs }));
     }
     let is_over = |w: &Waiter| barred.is_some() || w.until <= now.mono;
     let ended = ledger.waiting.take(|_, waiter, _, _| is_over(waiter));
--- a/crates/basilbank_core/src/reduce/slots/takeover.rs
+++ b/crates/basilbank_core/src/reduce/slots/takeover.rs
@@ -30,7 +30,7 @@
     let Some(known) = state.view.endpoint(endpoint) else { return };
     let extra = extra(known);
     let slots = if known.slots == 0 { u32::MAX } else { known.slots + extra };
-    let link_rate = estimate::link_tokens(state, known);
+    let link_rate = estimate::link_tokens_per_second(state, known);
     if let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) {
         (ledger.slots, ledger.extra, ledger.rate) = (slots, extra, known.prefill_rate);
         ledger.link_rate = link_rate;
@@ -135,7 +135,7 @@
     let over = ledger.leases.len().saturating_sub(ledger.slots as usize);
     if before < ledger.leases.len() && 0 < over {
         let pairs = vec![("endpoint", endpoint.to_string()), ("over", over.to_string())];
-        out.push(Effect::Progress(Progress::Note { name: "slot_over_commit", pairs }));
+        out.push(Effect::Progress(Progress::Note { name: "slot_over_commit", fields: pairs }));
     }
 }
 
@@ -153,7 +153,7 @@
 /// The live members changed, so stewardships may have moved.
 pub fn members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     follow(state, now, out);
-    reserve::members_changed(state, now, out);
+    reserve::on_members_changed(state, now, out);
 }
 
 /// Opens ledgers of endpoints that this daemon has become the steward of, and closes others.
--- a/crates/basilbank_core/src/reduce/charge.rs
+++ b/crates/basilbank_core/src/reduce/waste.rs
@@ -11,7 +11,13 @@
 };
 
 /// The prefill of an attempt that ends without its result's use.
-pub fn prefill(state: &State, now: Now, attempt: AttemptKey, waste: Waste, out: &mut Vec<Effect>) {
+pub fn record_prefill(
+    state: &State,
+    now: Now,
+    attempt: AttemptKey,
+    waste: Waste,
+    out: &mut Vec<Effect>,
+) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let prefill = match found.stage {
         AttemptStage::Prefill => now.mono.saturating_sub(found.since),
@@ -26,7 +32,7 @@
 }
 
 /// Tokens that the caller had already.
-pub fn duplicate(request: RequestId, tokens: u32, out: &mut Vec<Effect>) {
+pub fn record_duplicates(request: RequestId, tokens: u32, out: &mut Vec<Effect>) {
     let waste = Waste::Duplicate;
     let prefill = Duration::ZERO;
     out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens }));
--- a/crates/basilbank_core/src/state/requests.rs
+++ b/crates/basilbank_core/src/state/requests.rs
@@ -5,7 +5,7 @@
 use slotmap::SlotMap;
 
 use crate::{
-    event::{Call, Draft},
+    event::{Call, Completion},
     ids::{AttemptKey, CallerId, EndpointId, EntryId, RequestId, RequestKey, TeamId},
     state::Attempt,
 };
@@ -22,7 +22,7 @@
     /// The entry it runs under.
     pub entry: EntryId,
     /// The draft; `None` for a plain call.
-    pub draft: Option<Draft>,
+    pub draft: Option<Completion>,
     /// It may be run more than once.
     pub repeatable: bool,
     /// The caller's idempotency key.
@@ -239,6 +239,6 @@
     /// Tokens that a prefill has to turn into KV cache: the prompt, and what was delivered since.
     #[must_use]
     pub fn prompt_tokens(&self) -> u32 {
-        self.draft.as_ref().map_or(0, |d| d.tokens.saturating_add(self.delivered))
+        self.draft.as_ref().map_or(0, |d| d.prompt_tokens.saturating_add(self.delivered))
     }
 }
--- a/crates/basilbank_core/tests/catalogue.rs
+++ b/crates/basilbank_core/tests/catalogue.rs
@@ -198,8 +198,11 @@
     world.set_platform(PlatformMode::Stale);
     world.run_until(SECOND * 9 + SECOND / 2);
     // The change reaches one daemon past the stale replica.
-    let fresh =
-        PlatformEvent::Documents { after: 0, revision: 2, documents: world.platform.documents(2) };
+    let fresh = PlatformEvent::Documents {
+        base_revision: 0,
+        revision: 2,
+        documents: world.platform.documents(2),
+    };
     feed(&mut world, 7, Event::Platform(fresh));
     let compiled = world.platform.catalogues[&2].clone().expect("it passes the check");
     let checked = PlatformEvent::Checked { revision: 2, result: Ok(compiled) };
@@ -235,9 +238,10 @@
     let mut world = started(8);
     world.at(SECOND * 6, Step::Freeze { daemon: Who::Daemon(3), lasting: SECOND * 30 });
     world.run_until(SECOND * 36);
-    let work = Work::Plain(Plain { method: "GET".into(), path: "/fitter-desk/item".into() });
+    let work =
+        CallKind::Plain(PlainCall { method: "GET".into(), path: "/fitter-desk/item".into() });
     let (caller, key) = (CallerId(1), Spec::key(0));
-    let call = Call { caller, key, idempotency: None, repeatable: None, work };
+    let call = Call { caller, key, idempotency: None, repeatable: None, kind: work };
     let out = feed(&mut world, 3, Event::Caller(CallerEvent::Arrived(Box::new(call))));
     let is_refused = |e: &Effect| {
         let Effect::Answer { answer: Answer::Refused { refusal, .. }, .. } = e else {
--- a/crates/basilbank_core/tests/checker.rs
+++ b/crates/basilbank_core/tests/checker.rs
@@ -112,7 +112,7 @@
         if let Effect::Answer { answer, .. } = effect
             && matches!(answer, Answer::Done { .. } | Answer::Plain { .. })
         {
-            *answer = Answer::Refused { refusal: Refusal::NoEndpoint, after: None };
+            *answer = Answer::Refused { refusal: Refusal::NoEndpoint, retry_after: None };
         }
     }
 }
--- a/crates/basilbank_core/tests/daemons/claims.rs
+++ b/crates/basilbank_core/tests/daemons/claims.rs
@@ -230,7 +230,7 @@
     let (voters, other) = voters(&fleet, "draft-1");
     fleet.stream_draft(other);
     let attempt = fleet.decoding();
-    let token = EngineEvent::Token { attempt, offset: 0, texts: vec!["Two".to_owned()] };
+    let token = EngineEvent::Tokens { attempt, offset: 0, texts: vec!["Two".to_owned()] };
     fleet.feed(other, Event::Engine(token));
     let failed = EngineEvent::Failed { attempt, failure: Failure::Refused };
     fleet.feed(other, Event::Engine(failed));
@@ -271,9 +271,9 @@
     fleet.stream_draft(0);
     let endpoint = EndpointId::of("decode-0");
     let entry = draft_entry();
-    let Work::Draft(mut again) = draft() else { panic!("a draft") };
+    let CallKind::Completion(mut again) = draft() else { panic!("a draft") };
     again.resume = Some(ResumePoint { endpoint, stream: "s1".to_owned(), offset: 7, entry });
-    fleet.call(1, Some("draft-1"), Work::Draft(again));
+    fleet.call(1, Some("draft-1"), CallKind::Completion(again));
     fleet.run(SHORT);
     let offsets: Vec<_> = resumes(&fleet).iter().map(|(_, offset)| *offset).collect();
     assert_eq!(offsets, [7]);
--- a/crates/basilbank_core/tests/daemons/fleet.rs
+++ b/crates/basilbank_core/tests/daemons/fleet.rs
@@ -214,11 +214,11 @@
     }
 
     /// A call arrives at a daemon.
-    pub fn call(&mut self, index: usize, key: Option<&str>, work: Work) -> CallerId {
+    pub fn call(&mut self, index: usize, key: Option<&str>, work: CallKind) -> CallerId {
         self.callers += 1;
         let caller = CallerId(self.callers);
         let (key, idempotency) = (Spec::key(TEAM), key.map(str::to_owned));
-        let call = Call { caller, key, idempotency, repeatable: None, work };
+        let call = Call { caller, key, idempotency, repeatable: None, kind: work };
         self.feed(index, Event::Caller(CallerEvent::Arrived(Box::new(call))));
         caller
     }
@@ -262,8 +262,14 @@
     pub fn import(&mut self, run: usize) {
         let (index, attempt) = self.runs()[run];
         let (handle, spent) = ("kv1".to_owned(), Duration::from_millis(10));
-        let prefilled =
-            EngineEvent::Prefilled { attempt, handle, tokens: 100, cached: 0, bytes: 1000, spent };
+        let prefilled = EngineEvent::Prefilled {
+            attempt,
+            handle,
+            prompt_tokens: 100,
+            cached_tokens: 0,
+            bytes: 1000,
+            prefill_time: spent,
+        };
         self.feed(index, Event::Engine(prefilled));
     }
 
@@ -279,7 +285,7 @@
     /// The latest attempt that a decode endpoint was called for.
     pub fn decoding(&self) -> AttemptKey {
         let mut attempts = self.calls.iter().rev().filter_map(|(_, call)| match call {
-            EngineCall::Decode { draft, .. } => Some(draft.attempt),
+            EngineCall::Decode { call: draft, .. } => Some(draft.attempt),
             _ => None,
         });
         attempts.next().expect("a KV cache goes to its decode endpoint")
@@ -302,14 +308,23 @@
 }
 
 /// A call to the plain service that may not be repeated.
-pub fn stock_order() -> Work {
-    Work::Plain(Plain { method: "POST".to_owned(), path: format!("/{}/orders", spec().service) })
+pub fn stock_order() -> CallKind {
+    CallKind::Plain(PlainCall {
+        method: "POST".to_owned(),
+        path: format!("/{}/orders", spec().service),
+    })
 }
 
 /// A draft.
-pub fn draft() -> Work {
+pub fn draft() -> CallKind {
     let (model, blocks) = (spec().entry(TEAM), Vec::new().into());
-    Work::Draft(Draft { model, tokens: 100, blocks, max_tokens: 50, resume: None })
+    CallKind::Completion(Completion {
+        model,
+        prompt_tokens: 100,
+        block_hashes: blocks,
+        max_tokens: 50,
+        resume: None,
+    })
 }
 
 /// The team that calls.
--- a/crates/basilbank_core/tests/daemons/orders.rs
+++ b/crates/basilbank_core/tests/daemons/orders.rs
@@ -395,7 +395,7 @@
     let mut alone = Alone::new(catalogue());
     let report = load("v0", 0, 0);
     assert_eq!(alone.run(&report, 8).len(), 1);
-    let fenced = EngineReport::Fenced { fence: 2 << 32 };
+    let fenced = EngineReport::OrderFenced { fence: 2 << 32 };
     alone.run(&fenced, 1);
     assert_eq!(alone.roll(), None);
     let report = load("v0", 2 << 32, 0);
--- a/crates/basilbank_core/tests/daemons/reaping.rs
+++ b/crates/basilbank_core/tests/daemons/reaping.rs
@@ -46,7 +46,7 @@
     fn hold(&mut self, owner: usize, request: u64, reader: bool) {
         let info = StreamInfo {
             stream: format!("s{request}"),
-            kv: false,
+            is_kv_cache: false,
             vm: vm(owner),
             incarnation: self.fleet.states[owner].local.incarnation,
             request,
@@ -93,7 +93,7 @@
                 let is_owner = |s: &StreamInfo| (s.vm, s.incarnation) == owner;
                 self.streams.retain(|s| !(is_meant(&s.info) && is_owner(&s.info)));
             }
-            EngineCall::Cancel { endpoint, held: Some(held), .. } if *endpoint == self.id => {
+            EngineCall::Cancel { endpoint, resource: Some(held), .. } if *endpoint == self.id => {
                 self.streams.retain(|s| s.info.stream != *held);
             }
             _ => {}
@@ -112,7 +112,7 @@
     let mut engine = Engine::new("prefill-0");
     for (owner, request) in [(2, 1), (3, 2)] {
         engine.hold(owner, request, false);
-        engine.streams.last_mut().unwrap().info.kv = true;
+        engine.streams.last_mut().unwrap().info.is_kv_cache = true;
     }
     engine.fleet.down.insert(2);
     engine.run(7);
--- a/crates/basilbank_core/tests/world/callers.rs
+++ b/crates/basilbank_core/tests/world/callers.rs
@@ -126,14 +126,14 @@
         let leaves = self.now + asked.patience;
         let process = self.daemons[daemon].process(daemon);
         let work = match &asked.job {
-            Job::Draft { tokens, blocks, max_tokens, .. } => Work::Draft(Draft {
+            Job::Draft { tokens, blocks, max_tokens, .. } => CallKind::Completion(Completion {
                 model: self.spec.entry(asked.team),
-                tokens: *tokens,
-                blocks: Arc::clone(blocks),
+                prompt_tokens: *tokens,
+                block_hashes: Arc::clone(blocks),
                 max_tokens: *max_tokens,
                 resume,
             }),
-            Job::Plain { method } => Work::Plain(Plain {
+            Job::Plain { method } => CallKind::Plain(PlainCall {
                 method: (*method).into(),
                 path: format!("/{}/item", self.spec.service),
             }),
@@ -143,7 +143,7 @@
             key: Spec::key(asked.team),
             idempotency: asked.idempotency(),
             repeatable: asked.repeatable,
-            work,
+            kind: work,
         };
         let copy = asked.copy.filter(|_| is_first);
         self.callers.tries.push(Try {
@@ -264,17 +264,17 @@
         let ask = one.ask;
         let end = match answer {
             Answer::Accepted { .. } => return,
-            Answer::Located { endpoint, stream, base } => {
+            Answer::Located { endpoint, stream, base_offset } => {
                 let entry = EntryId::of(&self.spec.entry(self.callers.asks[ask].team));
                 one.located = Some(ResumePoint { endpoint, stream, offset: 0, entry });
-                one.base = base;
+                one.base = base_offset;
                 return;
             }
             Answer::Tokens { offset, texts } => {
                 one.take(offset, &texts, self.spec.texts, arrives);
                 return;
             }
-            Answer::Done { generated, .. } => {
+            Answer::Done { generated_tokens: generated, .. } => {
                 let total = self.callers.asks[ask].total();
                 one.missing += total.saturating_sub(one.start + one.next);
                 one.miscounted = generated != one.next;
@@ -290,8 +290,8 @@
                     None => End::Unknown,
                 }
             }
-            Answer::Refused { refusal, after } => {
-                one.after = after;
+            Answer::Refused { refusal, retry_after } => {
+                one.after = retry_after;
                 End::Refused(refusal)
             }
             Answer::Unknown => End::Unknown,
--- a/crates/basilbank_core/tests/world/daemon.rs
+++ b/crates/basilbank_core/tests/world/daemon.rs
@@ -277,7 +277,7 @@
             | EngineEvent::Finished { attempt, .. }
             | EngineEvent::Answered { attempt, .. }
             | EngineEvent::Failed { attempt, .. } => (*attempt, true),
-            EngineEvent::Started { attempt, .. } | EngineEvent::Token { attempt, .. } => {
+            EngineEvent::Started { attempt, .. } | EngineEvent::Tokens { attempt, .. } => {
                 (*attempt, false)
             }
             EngineEvent::Report { .. } => return,
--- a/crates/basilbank_core/tests/world/decode.rs
+++ b/crates/basilbank_core/tests/world/decode.rs
@@ -99,7 +99,7 @@
             let (vm, incarnation) = id(stream.owner);
             let idle = now - if stream.reader.is_some() { now } else { stream.read };
             let (stream, request) = (format!("s{number}"), stream.request.0);
-            StreamInfo { stream, kv: false, vm, incarnation, request, idle }
+            StreamInfo { stream, is_kv_cache: false, vm, incarnation, request, idle }
         };
         self.streams.iter().map(info).collect()
     }
@@ -131,7 +131,7 @@
         &mut self,
         endpoint: usize,
         reader: Reader,
-        draft: &DraftCall,
+        draft: &CompletionCall,
         source: EndpointId,
         handle: &str,
     ) {
@@ -161,7 +161,7 @@
         let id = decode.taken;
         let stream = Stream {
             request: draft.request,
-            number: draft.number,
+            number: draft.attempt_number,
             reader: reads,
             owner: reader.process,
             holder,
@@ -306,7 +306,7 @@
         };
         let texts: Vec<_> = (from..made).map(word).collect();
         if !texts.is_empty() {
-            let event = EngineEvent::Token { attempt: reader.attempt, offset: from, texts };
+            let event = EngineEvent::Tokens { attempt: reader.attempt, offset: from, texts };
             self.reply(endpoint, reader, event);
         }
     }
--- a/crates/basilbank_core/tests/world/engine.rs
+++ b/crates/basilbank_core/tests/world/engine.rs
@@ -27,9 +27,11 @@
 fn attempted(call: &EngineCall) -> Option<Attempted> {
     let one = |attempt, number, timeout, failure| Attempted { attempt, number, timeout, failure };
     match call {
-        EngineCall::Prefill(d) => Some(one(d.attempt, d.number, d.timeout, Failure::Broken)),
-        EngineCall::Decode { draft: d, .. } => {
-            Some(one(d.attempt, d.number, d.timeout, Failure::Stalled))
+        EngineCall::Prefill(d) => {
+            Some(one(d.attempt, d.attempt_number, d.timeout, Failure::Broken))
+        }
+        EngineCall::Decode { call: d, .. } => {
+            Some(one(d.attempt, d.attempt_number, d.timeout, Failure::Stalled))
         }
         EngineCall::Resume { attempt, .. } => {
             Some(one(*attempt, 0, Duration::from_secs(30), Failure::Broken))
@@ -44,7 +46,7 @@
 /// The endpoint that a call goes to.
 fn target(call: &EngineCall) -> EndpointId {
     match call {
-        EngineCall::Prefill(draft) | EngineCall::Decode { draft, .. } => draft.endpoint,
+        EngineCall::Prefill(draft) | EngineCall::Decode { call: draft, .. } => draft.endpoint,
         EngineCall::Resume { endpoint, .. }
         | EngineCall::Plain { endpoint, .. }
         | EngineCall::Cancel { endpoint, .. }
@@ -117,7 +119,7 @@
         let event = match (attempted(call), call) {
             (Some(one), _) => EngineEvent::Failed { attempt: one.attempt, failure },
             (None, EngineCall::Cancel { .. } | EngineCall::Reap { .. }) => return,
-            (None, _) => EngineEvent::Report { endpoint, report: EngineReport::Silent },
+            (None, _) => EngineEvent::Report { endpoint, report: EngineReport::NoResponse },
         };
         self.after(delay, Due::Event(process, Event::Engine(event)));
     }
@@ -158,10 +160,10 @@
                     self.prefill_call(endpoint, reader, &draft);
                 }
             }
-            EngineCall::Decode { draft, source, handle } => {
-                let reader = Reader { process, attempt: draft.attempt };
+            EngineCall::Decode { call, source, handle } => {
+                let reader = Reader { process, attempt: call.attempt };
                 if self.is_welcome(endpoint, reader) {
-                    self.decode_call(endpoint, reader, &draft, source, &handle);
+                    self.decode_call(endpoint, reader, &call, source, &handle);
                 }
             }
             EngineCall::Resume { attempt, caller, stream, offset, .. } => {
@@ -173,7 +175,7 @@
                     self.plain_call(endpoint, reader, caller, request);
                 }
             }
-            EngineCall::Cancel { request, held, .. } => {
+            EngineCall::Cancel { request, resource: held, .. } => {
                 self.cancel_call(endpoint, origin, request, held.as_deref());
             }
             EngineCall::Reap { stream, vm, incarnation, .. } => {
@@ -287,14 +289,14 @@
         let one = &mut self.endpoints[endpoint];
         let fencing = one.fencing && !one.has(EngineFault::IgnoreFencing);
         if fencing && fence < one.fence {
-            let report = EngineReport::Fenced { fence: one.fence };
+            let report = EngineReport::OrderFenced { fence: one.fence };
             self.tell(endpoint, process, report);
             return;
         }
         one.fence = if one.fencing { one.fence.max(fence) } else { 0 };
         one.orders.push((self.now, fence));
         let changes = one.version != version || one.adapter != adapter;
-        self.tell(endpoint, process, EngineReport::Ordered { fence });
+        self.tell(endpoint, process, EngineReport::OrderAccepted { fence });
         if !changes {
             return;
         }
--- a/crates/basilbank_core/tests/world/platform.rs
+++ b/crates/basilbank_core/tests/world/platform.rs
@@ -119,11 +119,11 @@
         let revision = self.shown();
         if after == 0 || after + REMEMBERED < revision {
             let documents = self.documents(revision);
-            return PlatformEvent::Documents { after: 0, revision, documents };
+            return PlatformEvent::Documents { base_revision: 0, revision, documents };
         }
         let all = self.documents(revision);
         let documents = all.into_iter().filter(|d| after < d.revision).collect();
-        PlatformEvent::Documents { after, revision, documents }
+        PlatformEvent::Documents { base_revision: after, revision, documents }
     }
 }
 
--- a/crates/basilbank_core/tests/world/prefill.rs
+++ b/crates/basilbank_core/tests/world/prefill.rs
@@ -99,7 +99,7 @@
             let (vm, incarnation) = id(kv.job.reader.process);
             StreamInfo {
                 stream: format!("k{number}"),
-                kv: true,
+                is_kv_cache: true,
                 vm,
                 incarnation,
                 request: kv.job.request.0,
@@ -201,14 +201,14 @@
 }
 
 impl World {
-    pub(super) fn prefill_call(&mut self, endpoint: usize, reader: Reader, draft: &DraftCall) {
+    pub(super) fn prefill_call(&mut self, endpoint: usize, reader: Reader, draft: &CompletionCall) {
         let (running, queued) = self.endpoints[endpoint].load();
         let holder = Try::number(draft.caller);
         let ask = self.callers.tries[holder].ask;
         let Job::Draft { tokens, blocks, .. } = &self.callers.asks[ask].job else { return };
         let job = PrefillJob {
             request: draft.request,
-            number: draft.number,
+            number: draft.attempt_number,
             reader,
             holder,
             tokens: tokens + draft.delivered,
@@ -269,10 +269,10 @@
         let event = EngineEvent::Prefilled {
             attempt: job.reader.attempt,
             handle: format!("k{id}"),
-            tokens: job.tokens,
-            cached: job.cached,
+            prompt_tokens: job.tokens,
+            cached_tokens: job.cached,
             bytes: u64::from(job.tokens) * token_bytes,
-            spent: job.spent,
+            prefill_time: job.spent,
         };
         let reader = job.reader;
         prefill.kvs.insert(id, Kv { job, ready: now });
--- a/crates/basilbank_core/tests/world/record.rs
+++ b/crates/basilbank_core/tests/world/record.rs
@@ -216,7 +216,13 @@
                 let sum = self.record.wastes.entry(waste).or_default();
                 *sum = (sum.0 + 1, sum.1 + prefill, sum.2 + u64::from(tokens));
             }
-            Progress::Settled { request, outcome, prompt, generated, .. } => {
+            Progress::Settled {
+                request,
+                outcome,
+                prompt_tokens: prompt,
+                generated_tokens: generated,
+                ..
+            } => {
                 let line = (outcome, prompt, generated);
                 self.record.settled.entry(request).or_default().push(line);
                 self.request_reached(request, Moment::Settled);
--- a/crates/basilbank_core/tests/world/streams.rs
+++ b/crates/basilbank_core/tests/world/streams.rs
@@ -41,7 +41,7 @@
         let ask = self.callers.tries[Try::number(caller)].ask;
         self.callers.progress[ask].decode = Some(endpoint);
         if let Some(earlier) = earlier.filter(|e| *e != reader) {
-            self.fail_decode(endpoint, earlier, Failure::Taken);
+            self.fail_decode(endpoint, earlier, Failure::TakenOver);
         }
         let (attempt, stream) = (reader.attempt, name.into());
         self.reply(endpoint, reader, EngineEvent::Started { attempt, stream });
