--- a/crates/basilbank/src/admin/lists.rs
+++ b/crates/basilbank/src/admin/lists.rs
@@ -123,7 +123,7 @@
 pub fn catalogue(state: &State, names: &Names) -> Vec<EntryRow> {
     let row = |entry: &Entry| EntryRow {
         name: entry.name.clone(),
-        team: names.team(entry.owner).to_owned(),
+        team: names.team(entry.team).to_owned(),
         class: names.class_of(entry.id).to_owned(),
         target: names.target(entry.target).to_owned(),
         requests_limit: entry.limits.requests,
@@ -172,7 +172,7 @@
     }
     let mut entries: BTreeMap<TeamId, usize> = BTreeMap::new();
     for entry in &state.view.catalogue.entries {
-        *entries.entry(entry.owner).or_default() += 1;
+        *entries.entry(entry.team).or_default() += 1;
     }
     let row = |team: &Team| TeamRow {
         name: team.name.clone(),
--- a/crates/basilbank/src/callers/code.rs
+++ b/crates/basilbank/src/callers/code.rs
@@ -153,10 +153,10 @@
             StatusCode::TOO_MANY_REQUESTS
         }
         Refusal::TargetMissed
-        | Refusal::WaitedOut
+        | Refusal::WaitTimedOut
         | Refusal::QueueFull
         | Refusal::NoEndpoint
-        | Refusal::RetriesSpent
+        | Refusal::RetriesExhausted
         | Refusal::KeyUnclaimed
         | Refusal::ShuttingDown
         | Refusal::NotReady => StatusCode::SERVICE_UNAVAILABLE,
@@ -190,10 +190,10 @@
         Refusal::TokenLimit => "the limit of tokens a second is used up",
         Refusal::ConcurrentLimit => "too many requests are in progress",
         Refusal::TargetMissed => "the request can't be answered in time now",
-        Refusal::WaitedOut => "no capacity came free in time",
+        Refusal::WaitTimedOut => "no capacity came free in time",
         Refusal::QueueFull => "too many requests wait",
         Refusal::NoEndpoint => "no endpoint serves this now",
-        Refusal::RetriesSpent => "no endpoint took the request",
+        Refusal::RetriesExhausted => "no endpoint took the request",
         Refusal::KeyUnclaimed => {
             "the idempotency key could not be claimed: nothing was run for this call, but an earlier \
              one with the key may have run"
--- a/crates/basilbank/src/daemon.rs
+++ b/crates/basilbank/src/daemon.rs
@@ -219,7 +219,7 @@
         return Err(Refusal::NotReady);
     }
     let team = names.view.team(key).ok_or(Refusal::UnknownKey)?;
-    let entries = names.catalogue().entries.iter().filter(|e| e.owner == team);
+    let entries = names.catalogue().entries.iter().filter(|e| e.team == team);
     let drafts = entries.filter(|e| matches!(e.target, EntryTarget::Model(_)));
     Ok(drafts.map(|e| e.name.clone()).collect())
 }
--- a/crates/basilbank/tests/callers_http/page.rs
+++ b/crates/basilbank/tests/callers_http/page.rs
@@ -54,7 +54,7 @@
 fn the_error_is_as_on_the_page() {
     let (edge, mut client) = Edge::open();
     let caller = edge.begin(&mut client, block("json request"));
-    edge.say(caller, Answer::Refused { refusal: Refusal::WaitedOut, retry_after: None });
+    edge.say(caller, Answer::Refused { refusal: Refusal::WaitTimedOut, retry_after: None });
     assert_eq!(json(&client.answer().1), json(block("json error")));
 }
 
--- a/crates/basilbank/tests/callers_http/streams.rs
+++ b/crates/basilbank/tests/callers_http/streams.rs
@@ -66,7 +66,7 @@
     let (edge, mut client) = Edge::open();
     let caller = edge.begin(&mut client, STREAM);
     let after = Some(Duration::from_millis(1200));
-    edge.say(caller, Answer::Refused { refusal: Refusal::WaitedOut, retry_after: after });
+    edge.say(caller, Answer::Refused { refusal: Refusal::WaitTimedOut, retry_after: after });
     let (head, body) = client.answer();
     assert_eq!((head.status, head.get("retry-after")), (503, Some("2")));
     assert_eq!((head.get("x-outcome"), head.get("x-request-id")), (Some("not-run"), Some(REQUEST)));
--- a/crates/basilbank_config/src/catalogue/across.rs
+++ b/crates/basilbank_config/src/catalogue/across.rs
@@ -111,7 +111,7 @@
         if matches!(entry.value.target, EntryTarget::Model(_)) {
             continue;
         }
-        let key = (entry.value.owner, entry.value.target);
+        let key = (entry.value.team, entry.value.target);
         let name = entry.value.name.as_str();
         let Some((first, spot)) = seen.insert(key, (name, entry.spot)) else { continue };
         let target = parts.target_name(entry.value.target);
--- a/crates/basilbank_config/src/catalogue/read.rs
+++ b/crates/basilbank_config/src/catalogue/read.rs
@@ -178,7 +178,7 @@
     let entry = Entry {
         id,
         name: fields.text("name")?.to_owned(),
-        owner: TeamId(owner?),
+        team: TeamId(owner?),
         class: ClassId(class?),
         target: target?,
         limits: limits.map(|l| read_limits(&l)).unwrap_or_default(),
--- a/crates/basilbank_config/src/diff/describe.rs
+++ b/crates/basilbank_config/src/diff/describe.rs
@@ -142,7 +142,7 @@
 
     fn fields(&self, lookup: &Lookup<'_>) -> Vec<Shown> {
         vec![
-            ("owner", lookup.name(self.owner.0)),
+            ("owner", lookup.name(self.team.0)),
             ("class", lookup.name(self.class.0)),
             ("target", lookup.target(self.target)),
             ("requests_per_s", limit(self.limits.requests)),
--- a/crates/basilbank_config/src/diff/follow.rs
+++ b/crates/basilbank_config/src/diff/follow.rs
@@ -68,19 +68,19 @@
 
 impl Follow for Entry {
     fn added(&self, lookup: &Lookup<'_>) -> Option<Consequence> {
-        let (team, target) = (lookup.name(self.owner.0), lookup.target(self.target));
+        let (team, target) = (lookup.name(self.team.0), lookup.target(self.target));
         Some(Consequence::Access { team, target })
     }
 
     fn removed(&self, lookup: &Lookup<'_>) -> Option<Consequence> {
-        let (team, target) = (lookup.name(self.owner.0), lookup.target(self.target));
+        let (team, target) = (lookup.name(self.team.0), lookup.target(self.target));
         Some(Consequence::NoAccess { team, target })
     }
 
     fn changed(&self, old: &Entry, field: &str, lookup: &Lookup<'_>) -> Option<Consequence> {
         match field {
             "owed" => Some(Consequence::Owed {
-                team: lookup.name(self.owner.0),
+                team: lookup.name(self.team.0),
                 target: lookup.target(self.target),
                 old: old.limits.owed,
                 new: self.limits.owed,
--- a/crates/basilbank_core/src/catalogue.rs
+++ b/crates/basilbank_core/src/catalogue.rs
@@ -97,7 +97,7 @@
     /// The name; for a model's entry it is what callers put into the `model` field.
     pub name: String,
     /// Who owns it and is charged.
-    pub owner: TeamId,
+    pub team: TeamId,
     /// What is promised.
     pub class: ClassId,
     /// What it gives access to.
--- a/crates/basilbank_core/src/reason.rs
+++ b/crates/basilbank_core/src/reason.rs
@@ -51,13 +51,13 @@
         /// The class's target can't be met now, and the class does not wait.
         TargetMissed = "target_missed",
         /// It waited as long as its class allows.
-        WaitedOut = "waited_out",
+        WaitTimedOut = "waited_out",
         /// This daemon's queue is full.
         QueueFull = "queue_full",
         /// No endpoint serves this now.
         NoEndpoint = "no_endpoint",
         /// Endpoints refused it as often as the retry budget allows.
-        RetriesSpent = "retries_spent",
+        RetriesExhausted = "retries_spent",
         /// The idempotency key could not be claimed.
         KeyUnclaimed = "key_unclaimed",
         /// The idempotency key belongs to a request that still runs and can't be joined.
@@ -75,7 +75,7 @@
         /// The steward had no slot.
         NoSlot = "no_slot",
         /// The steward did not answer.
-        StewardSilent = "steward_silent",
+        OwnerSilent = "steward_silent",
         /// The endpoint refused: full, leaving or not serving this.
         Refused = "refused",
         /// The endpoint could not be reached; nothing was sent.
--- a/crates/basilbank_core/src/reduce/place.rs
+++ b/crates/basilbank_core/src/reduce/place.rs
@@ -222,5 +222,5 @@
 #[must_use]
 pub fn refusal_reason(state: &State, key: RequestKey) -> Refusal {
     let Some(request) = state.requests.arena.get(key) else { return Refusal::NoEndpoint };
-    if request.due < request.until { Refusal::WaitedOut } else { Refusal::TargetMissed }
+    if request.due < request.until { Refusal::WaitTimedOut } else { Refusal::TargetMissed }
 }
--- a/crates/basilbank_core/src/reduce/retry.rs
+++ b/crates/basilbank_core/src/reduce/retry.rs
@@ -129,7 +129,7 @@
         reserve::release(state, slot, out);
     }
     if !take_retry(state, key) {
-        return settle::give_up(state, now, key, Refusal::RetriesSpent, None, out);
+        return settle::give_up(state, now, key, Refusal::RetriesExhausted, None, out);
     }
     log_retry(state, key, retry, Duration::ZERO, out);
     state.requests.set_queued(key);
@@ -163,7 +163,7 @@
     }
     if !take_retry(state, key) {
         waste::record_prefill(state, now, attempt, Waste::DecodeFailed, out);
-        return settle::give_up(state, now, key, Refusal::RetriesSpent, None, out);
+        return settle::give_up(state, now, key, Refusal::RetriesExhausted, None, out);
     }
     log_retry(state, key, retry_reason(failure, Retry::DecodeDied), Duration::ZERO, out);
     decode::relocate(state, now, attempt, failure, out);
--- a/crates/basilbank_core/src/reduce/retry/wait.rs
+++ b/crates/basilbank_core/src/reduce/retry/wait.rs
@@ -103,7 +103,7 @@
     out: &mut Vec<Effect>,
 ) {
     if !take_retry(state, key) {
-        return settle::give_up(state, now, key, Refusal::RetriesSpent, None, out);
+        return settle::give_up(state, now, key, Refusal::RetriesExhausted, None, out);
     }
     let request = &state.requests.arena[key];
     debug_assert_eq!(request.stage, RequestStage::Waiting);
--- a/crates/basilbank_core/src/state/view.rs
+++ b/crates/basilbank_core/src/state/view.rs
@@ -56,7 +56,7 @@
         self.lengths.dedup();
         for (i, entry) in catalogue.entries.iter().enumerate() {
             if let EntryTarget::Service(service) = entry.target {
-                self.plain.entry((entry.owner, service)).or_insert(i);
+                self.plain.entry((entry.team, service)).or_insert(i);
             }
         }
     }
@@ -83,7 +83,7 @@
     pub fn draft_entry(&self, team: TeamId, name: &str) -> Option<&Entry> {
         let entry = self.entry(EntryId::of(name))?;
         let is_model = matches!(entry.target, EntryTarget::Model(_));
-        (entry.owner == team && is_model).then_some(entry)
+        (entry.team == team && is_model).then_some(entry)
     }
 
     /// The service whose prefix a path starts with; the longest prefix wins.
--- a/crates/basilbank_core/tests/world/spec.rs
+++ b/crates/basilbank_core/tests/world/spec.rs
@@ -306,6 +306,6 @@
     }
 }
 
-fn entry(name: String, owner: TeamId, class: &Class, target: EntryTarget, limits: Limits) -> Entry {
-    Entry { id: EntryId::of(&name), name, owner, class: class.id, target, limits }
+fn entry(name: String, team: TeamId, class: &Class, target: EntryTarget, limits: Limits) -> Entry {
+    Entry { id: EntryId::of(&name), name, team, class: class.id, target, limits }
 }
