--- a/crates/basilbank_core/src/reduce.rs
+++ b/crates/basilbank_core/src/reduce.rs
@@ -40,8 +40,8 @@
 /// Takes one event in and pushes what is to be done about it.
 pub fn reduce(state: &mut State, now: Now, event: Event, out: &mut Vec<Effect>) {
     let first_new = out.len();
-    member::awake(state, now, out);
-    claim::expire(state, now, out);
+    member::detect_pause(state, now, out);
+    claim::refuse_expired(state, now, out);
     match event {
         Event::Tick => {}
         Event::Caller(event) => on_caller(state, now, event, out),
@@ -59,8 +59,8 @@
         on_timer(state, now, timer, out);
         handle_local_messages(state, now, out);
     }
-    claim::remember(state, &out[first_new..]);
-    reap::remember(state, now, &out[first_new..]);
+    claim::record_sent(state, &out[first_new..]);
+    reap::track_cancels(state, now, &out[first_new..]);
     shutdown::exit_when_idle(state, now, out);
 }
 
@@ -76,11 +76,11 @@
     match timer {
         Timer::Attempt(key) => retry::on_timeout(state, now, key, out),
         Timer::Request(key) => place::start_attempt(state, now, key, out),
-        Timer::Claim(id) => claim::timed_out(state, now, id, out),
+        Timer::Claim(id) => claim::on_timer(state, now, id, out),
         Timer::Platform => catalogue::tick(state, now, out),
         Timer::Heartbeat => member::tick(state, now, out),
         Timer::Slots => slots::tick(state, now, out),
-        Timer::Serve(endpoint) => slots::serve(state, now, endpoint, out),
+        Timer::Serve(endpoint) => slots::grant_waiting(state, now, endpoint, out),
         Timer::Limits => limit::tick(state, now, out),
         Timer::Loads => health::tick(state, now, out),
         Timer::Orders => order::tick(state, now, out),
@@ -129,16 +129,16 @@
 fn on_platform(state: &mut State, now: Now, event: PlatformEvent, out: &mut Vec<Effect>) {
     match event {
         PlatformEvent::Documents { base_revision, revision, documents } => {
-            catalogue::documents(state, now, base_revision, revision, documents, out);
+            catalogue::on_documents(state, now, base_revision, revision, documents, out);
         }
         PlatformEvent::Checked { revision, result } => {
-            catalogue::checked(state, now, revision, result, out);
+            catalogue::on_checked(state, now, revision, result, out);
         }
-        PlatformEvent::CatalogueFailed => catalogue::documents_failed(state, now),
+        PlatformEvent::CatalogueFailed => catalogue::on_documents_failed(state, now),
         PlatformEvent::Vms { revision, vms } => {
-            catalogue::platform_vms(state, now, revision, vms, out);
+            catalogue::on_platform_vms(state, now, revision, vms, out);
         }
-        PlatformEvent::VmsFailed => catalogue::vms_failed(state, now),
+        PlatformEvent::VmsFailed => catalogue::on_vms_failed(state, now),
     }
 }
 
@@ -150,10 +150,10 @@
     out: &mut Vec<Effect>,
 ) {
     if let EngineReport::Streams(streams) = report {
-        reap::listed(state, endpoint, streams, out);
+        reap::on_stream_list(state, endpoint, streams, out);
     }
     health::on_report(state, now, endpoint, report, out);
-    order::reported(state, now, endpoint, report, out);
+    order::on_report(state, now, endpoint, report, out);
 }
 
 fn on_peer(
@@ -164,26 +164,26 @@
     body: Body,
     out: &mut Vec<Effect>,
 ) {
-    if !member::is_current(state, now, from, incarnation, out) {
+    if !member::accept_sender(state, now, from, incarnation, out) {
         return;
     }
     match body {
-        Body::Heartbeat(heartbeat) => member::heard(state, now, from, &heartbeat, out),
-        Body::Reserve(reserve) => slots::asked(state, now, from, &reserve, out),
+        Body::Heartbeat(heartbeat) => member::on_heartbeat(state, now, from, &heartbeat, out),
+        Body::Reserve(reserve) => slots::on_reserve(state, now, from, &reserve, out),
         Body::Grant(grant) => reserve::on_granted(state, now, from, &grant, out),
         Body::Deny(deny) => reserve::on_denied(state, now, &deny, out),
-        Body::Release(release) => slots::released(state, now, from, &release, out),
-        Body::AskHolds(ask) => slots::holds_asked(state, from, &ask, out),
-        Body::Holds(holds) => slots::holds(state, now, from, &holds, out),
+        Body::Release(release) => slots::on_release(state, now, from, &release, out),
+        Body::AskHolds(ask) => slots::on_ask_holds(state, from, &ask, out),
+        Body::Holds(holds) => slots::on_holds(state, now, from, &holds, out),
         Body::Preempt(preempt) => reserve::on_preempted(state, now, &preempt, out),
-        Body::Claim(claim) => claim::asked(state, now, from, &claim, out),
-        Body::Vote(vote) => claim::voted(state, now, from, &vote, out),
-        Body::Settle(settle) => claim::told(state, now, from, &settle, out),
-        Body::FetchCatalogue(fetch) => catalogue::fetched(state, now, from, &fetch, out),
-        Body::Catalogue(delta) => catalogue::delta(state, now, delta, out),
-        Body::FetchVms(fetch) => catalogue::vms_fetched(state, from, &fetch, out),
-        Body::Vms(list) => catalogue::vms(state, now, list, out),
-        Body::AskLimit(ask) => limit::asked(state, now, from, &ask, out),
-        Body::Lease(lease) => limit::leased(state, now, from, &lease, out),
+        Body::Claim(claim) => claim::on_claim(state, now, from, &claim, out),
+        Body::Vote(vote) => claim::on_vote(state, now, from, &vote, out),
+        Body::Settle(settle) => claim::on_settle(state, now, from, &settle, out),
+        Body::FetchCatalogue(fetch) => catalogue::on_fetch_catalogue(state, now, from, &fetch, out),
+        Body::Catalogue(delta) => catalogue::on_catalogue_delta(state, now, delta, out),
+        Body::FetchVms(fetch) => catalogue::on_fetch_vms(state, from, &fetch, out),
+        Body::Vms(list) => catalogue::on_peer_vms(state, now, list, out),
+        Body::AskLimit(ask) => limit::on_ask_limit(state, now, from, &ask, out),
+        Body::Lease(lease) => limit::on_lease(state, now, from, &lease, out),
     }
 }
--- a/crates/basilbank_core/src/reduce/catalogue.rs
+++ b/crates/basilbank_core/src/reduce/catalogue.rs
@@ -1,7 +1,7 @@
 //! The catalogue and the VM list: from the platform or a peer, into force, and on to peers.
 
 mod check;
-mod currency;
+mod freshness;
 mod peers;
 mod platform;
 
@@ -10,10 +10,10 @@
 use basilbank_wire::{Document, VmList};
 
 pub use self::{
-    check::checked,
-    currency::awake,
-    peers::{delta, fetched, shown, vms, vms_fetched},
-    platform::{documents, documents_failed, platform_vms, vms_failed},
+    check::on_checked,
+    freshness::on_pause,
+    peers::{on_catalogue_delta, on_fetch_catalogue, on_fetch_vms, on_heartbeat, on_peer_vms},
+    platform::{on_documents, on_documents_failed, on_platform_vms, on_vms_failed},
 };
 use crate::{
     effect::{Effect, Progress},
@@ -23,51 +23,51 @@
 };
 
 /// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Least time between two rounds of telling peers of new revisions, so that a burst of changes is
 /// told together.
-const TELL_GAP: Duration = Duration::from_millis(200);
+const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Reads, fetches, checks and tells what is due.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    state.timers.set(now.mono + TICK, Timer::Platform);
+    state.timers.set(now.mono + TICK_INTERVAL, Timer::Platform);
     platform::tick(state, now, out);
     peers::tick(state, now, out);
     check::tick(state, now, out);
-    currency::settle(state, now, out);
-    tell(state, now, out);
+    freshness::update(state, now, out);
+    announce(state, now, out);
 }
 
 /// Takes documents in, from wherever they come.
-fn apply(
+fn apply_documents(
     state: &mut State,
     now: Now,
     after: u64,
     revision: u64,
     documents: Vec<Document>,
     out: &mut Vec<Effect>,
-) -> Taken {
+) -> DocumentsStatus {
     match state.documents.store.apply(after, revision, documents) {
         Applied::Stale => {
             let known = state.documents.store.revision;
             let pairs = vec![("revision", revision.to_string()), ("known", known.to_string())];
             note(out, "documents_stale", pairs);
-            Taken::Dropped
+            DocumentsStatus::Dropped
         }
-        Applied::Gap => Taken::Dropped,
-        Applied::Same => Taken::Known,
+        Applied::Gap => DocumentsStatus::Dropped,
+        Applied::Same => DocumentsStatus::Known,
         Applied::Changed(former) => {
             state.documents.accepted.changed(former);
             check::tick(state, now, out);
             state.documents.untold = true;
-            tell(state, now, out);
-            Taken::Known
+            announce(state, now, out);
+            DocumentsStatus::Known
         }
     }
 }
 
 /// Takes a VM list in, unless one as new is known.
-fn adopt(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
+fn apply_vm_list(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
     if list.revision <= state.documents.vms.revision {
         return;
     }
@@ -80,16 +80,16 @@
     note(out, "vm_list", pairs);
     state.members.adopt(&list.vms);
     state.documents.vms = list;
-    currency::listed(state, now);
+    freshness::start_contact_wait(state, now);
     state.documents.told = now.mono;
-    member::adopted(state, now, out);
-    currency::settle(state, now, out);
+    member::on_vm_list(state, now, out);
+    freshness::update(state, now, out);
 }
 
 /// Tells a few peers of new revisions at once; heartbeats tell the rest.
-fn tell(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+fn announce(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let documents = &mut state.documents;
-    if !documents.untold || now.mono < documents.told + TELL_GAP {
+    if !documents.untold || now.mono < documents.told + MIN_ANNOUNCE_INTERVAL {
         return;
     }
     documents.untold = false;
@@ -99,7 +99,7 @@
 
 /// Whether documents that came are known now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Taken {
+enum DocumentsStatus {
     /// They are, or something newer is not contradicted by them.
     Known,
     /// They were of no use.
--- a/crates/basilbank_core/src/reduce/catalogue/check.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/check.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::{currency, note};
+use super::{freshness, note};
 use crate::{
     catalogue::Catalogue,
     effect::Effect,
@@ -11,23 +11,23 @@
 };
 
 /// Least time between two checks, so that a burst of changes is compiled together.
-const GAP: Duration = Duration::from_millis(300);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// A check that was not answered for this long is asked for again.
-const LOST: Duration = Duration::from_secs(30);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Asks for a check of the newest documents if they were not checked yet.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let store = &state.documents.store;
     let accepted = &mut state.documents.accepted;
     if let Some(check) = &accepted.check {
-        if now.mono < check.since + LOST {
+        if now.mono < check.since + CHECK_TIMEOUT {
             return;
         }
         accepted.checked = accepted.checked.min(check.revision.saturating_sub(1));
         accepted.failed();
     }
-    let too_soon = 0 < accepted.checked && now.mono < accepted.asked + GAP;
-    if store.revision <= accepted.checked || too_soon {
+    let is_too_soon = 0 < accepted.checked && now.mono < accepted.asked + MIN_CHECK_INTERVAL;
+    if store.revision <= accepted.checked || is_too_soon {
         return;
     }
     let revision = store.revision;
@@ -36,7 +36,7 @@
 }
 
 /// Takes a checked catalogue into force, unless it is older than the one in force.
-pub fn checked(
+pub fn on_checked(
     state: &mut State,
     now: Now,
     revision: u64,
@@ -44,20 +44,20 @@
     out: &mut Vec<Effect>,
 ) {
     let documents = &mut state.documents;
-    let is_awaited = documents.accepted.check.as_ref().is_some_and(|c| c.revision == revision);
+    let is_pending = documents.accepted.check.as_ref().is_some_and(|c| c.revision == revision);
     match result {
         Ok(catalogue) if state.view.catalogue.revision < revision => {
-            if is_awaited {
+            if is_pending {
                 documents.accepted.passed(&documents.store);
             }
             state.view = View::new(catalogue);
             documents.untold = true;
             note(out, "catalogue_in_force", vec![("revision", revision.to_string())]);
         }
-        Ok(_) if is_awaited => documents.accepted.failed(),
+        Ok(_) if is_pending => documents.accepted.failed(),
         Ok(_) => {}
         Err(findings) => {
-            if is_awaited {
+            if is_pending {
                 documents.accepted.failed();
             }
             let pairs =
@@ -66,6 +66,6 @@
         }
     }
     tick(state, now, out);
-    currency::settle(state, now, out);
-    super::tell(state, now, out);
+    freshness::update(state, now, out);
+    super::announce(state, now, out);
 }
--- a/crates/basilbank_core/src/reduce/catalogue/peers.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/peers.rs
@@ -4,7 +4,7 @@
 
 use basilbank_wire::{Body, CatalogueDelta, FetchCatalogue, FetchVms, Heartbeat, Message, VmList};
 
-use super::{Taken, adopt, apply, currency, note};
+use super::{DocumentsStatus, apply_documents, apply_vm_list, freshness, note};
 use crate::{
     effect::Effect,
     ids::VmId,
@@ -13,31 +13,37 @@
 };
 
 /// Without an answer for this long another peer is asked.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Whole catalogues that a daemon sends to peers in one second; others ask elsewhere.
-const MOST_WHOLES: u32 = 4;
+const MAX_FULL_TRANSFERS_PER_SECOND: u32 = 4;
 
 /// A peer's heartbeat shows what it has.
-pub fn shown(state: &mut State, now: Now, from: VmId, beat: &Heartbeat, out: &mut Vec<Effect>) {
-    let shown = Shown::by(from, beat);
+pub fn on_heartbeat(
+    state: &mut State,
+    now: Now,
+    from: VmId,
+    heartbeat: &Heartbeat,
+    out: &mut Vec<Effect>,
+) {
+    let shown = Shown::by(from, heartbeat);
     state.documents.shown.merge(&shown);
-    if 0 < beat.confirmed {
-        let age = Duration::from_millis(u64::from(beat.confirmed));
+    if 0 < heartbeat.confirmed {
+        let age = Duration::from_millis(u64::from(heartbeat.confirmed));
         let at = now.mono.saturating_sub(age);
         state.documents.confirmed = state.documents.confirmed.max(Some(at));
     }
-    ask(state, now, &shown, out);
-    currency::settle(state, now, out);
+    fetch_missing(state, now, &shown, out);
+    freshness::update(state, now, out);
 }
 
 /// Asks again for what was not answered.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let shown = state.documents.shown;
-    ask(state, now, &shown, out);
+    fetch_missing(state, now, &shown, out);
 }
 
 /// A peer asks for documents.
-pub fn fetched(
+pub fn on_fetch_catalogue(
     state: &mut State,
     now: Now,
     from: VmId,
@@ -57,7 +63,7 @@
         }
         documents.store.since(fetch.after)
     };
-    if delta.after == 0 && !may_send_whole(&mut state.documents.wholes, now) {
+    if delta.after == 0 && !may_send_full(&mut state.documents.wholes, now) {
         note(out, "whole_put_off", vec![("vm", from.to_string())]);
         return;
     }
@@ -65,14 +71,19 @@
 }
 
 /// A peer sent documents.
-pub fn delta(state: &mut State, now: Now, delta: CatalogueDelta, out: &mut Vec<Effect>) {
+pub fn on_catalogue_delta(
+    state: &mut State,
+    now: Now,
+    delta: CatalogueDelta,
+    out: &mut Vec<Effect>,
+) {
     state.documents.fetch.since = None;
     let CatalogueDelta { after, revision, documents } = delta;
     let is_accepted = after == 0
         && revision < state.documents.store.revision
         && state.view.catalogue.revision < revision;
     if !is_accepted {
-        if apply(state, now, after, revision, documents, out) == Taken::Known {
+        if apply_documents(state, now, after, revision, documents, out) == DocumentsStatus::Known {
             tick(state, now, out);
         }
         return;
@@ -86,27 +97,27 @@
 }
 
 /// A peer asks for the VM list.
-pub fn vms_fetched(state: &State, from: VmId, fetch: &FetchVms, out: &mut Vec<Effect>) {
+pub fn on_fetch_vms(state: &State, from: VmId, fetch: &FetchVms, out: &mut Vec<Effect>) {
     if fetch.after < state.documents.vms.revision {
         send(out, from, Body::Vms(state.documents.vms.clone()));
     }
 }
 
 /// A peer sent the VM list.
-pub fn vms(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
+pub fn on_peer_vms(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
     state.documents.vms_fetch.since = None;
-    adopt(state, now, list, out);
+    apply_vm_list(state, now, list, out);
 }
 
-fn ask(state: &mut State, now: Now, shown: &Shown, out: &mut Vec<Effect>) {
-    ask_vms(state, now, shown.vms, out);
-    ask_documents(state, now, shown, out);
+fn fetch_missing(state: &mut State, now: Now, shown: &Shown, out: &mut Vec<Effect>) {
+    fetch_vms(state, now, shown.vms, out);
+    fetch_documents(state, now, shown, out);
 }
 
-fn ask_vms(state: &mut State, now: Now, offer: Offer, out: &mut Vec<Effect>) {
+fn fetch_vms(state: &mut State, now: Now, offer: Offer, out: &mut Vec<Effect>) {
     let documents = &mut state.documents;
     let after = documents.vms.revision;
-    if offer.revision <= after || !documents.vms_fetch.is_idle(now.mono, TIMEOUT) {
+    if offer.revision <= after || !documents.vms_fetch.is_idle(now.mono, FETCH_TIMEOUT) {
         return;
     }
     documents.vms_fetch.since = Some(now.mono);
@@ -115,9 +126,9 @@
 
 /// Asks for newer documents; when the newest are known and were rejected here, for those that are
 /// in force elsewhere. Two daemons that skipped different revisions of a burst agree by that.
-fn ask_documents(state: &mut State, now: Now, shown: &Shown, out: &mut Vec<Effect>) {
+fn fetch_documents(state: &mut State, now: Now, shown: &Shown, out: &mut Vec<Effect>) {
     let documents = &mut state.documents;
-    if !documents.fetch.is_idle(now.mono, TIMEOUT) {
+    if !documents.fetch.is_idle(now.mono, FETCH_TIMEOUT) {
         return;
     }
     let known = documents.store.revision;
@@ -136,12 +147,12 @@
     send(out, from, Body::FetchCatalogue(fetch));
 }
 
-fn may_send_whole(wholes: &mut Wholes, now: Now) -> bool {
-    if wholes.since + Duration::from_secs(1) <= now.mono {
-        *wholes = Wholes { since: now.mono, sent: 0 };
+fn may_send_full(transfers: &mut Wholes, now: Now) -> bool {
+    if transfers.since + Duration::from_secs(1) <= now.mono {
+        *transfers = Wholes { since: now.mono, sent: 0 };
     }
-    wholes.sent += 1;
-    wholes.sent <= MOST_WHOLES
+    transfers.sent += 1;
+    transfers.sent <= MAX_FULL_TRANSFERS_PER_SECOND
 }
 
 fn send(out: &mut Vec<Effect>, to: VmId, body: Body) {
--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -1,13 +1,13 @@
 //! At most one run for an idempotency key: the side of the daemon that wants to run a request.
 
-mod succeed;
+mod takeover;
 mod vote;
 
 use std::time::Duration;
 
 use basilbank_wire::{Body, Claim, KeyRecord, Settle, Verdict, Vote};
 
-pub use self::vote::{asked, list_changed, told};
+pub use self::vote::{on_claim, on_settle, update_tenure};
 use crate::{
     effect::{Effect, EngineCall, Progress},
     ids::{RequestId, RequestKey, VmId},
@@ -20,15 +20,15 @@
 };
 
 /// Times that a voter is asked before a claim is given up.
-const ASK_ROUNDS: u32 = 4;
+const MAX_VOTE_REQUESTS: u32 = 4;
 /// Times that a voter is told something before it is left to find out by expiry.
-const TELL_ROUNDS: u32 = 5;
+const MAX_RECORD_SENDS: u32 = 5;
 /// Each wait for a voter's confirmation is this many times the one before.
-const TELL_GROWTH: u32 = 4;
+const SEND_BACKOFF_FACTOR: u32 = 4;
 /// When a caller should come back whose key the voters can't tell from a repeat.
-const COME_BACK: Duration = Duration::from_secs(5);
+const UNDECIDED_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// A running request's key is renewed this many times in a key window.
-const RENEWALS: u32 = 4;
+const RENEWALS_PER_WINDOW: u32 = 4;
 
 /// Claims an accepted request's key. The request waits; `admit::claimed`, `admit::joined` or
 /// `settle::refuse` follows, perhaps at once.
@@ -55,17 +55,17 @@
         is_sent: false,
         record,
         after: 0,
-        deadline: now.mono + state.local.tuning.peer_timeout * ASK_ROUNDS,
+        deadline: now.mono + state.local.tuning.peer_timeout * MAX_VOTE_REQUESTS,
         sent: 0,
         due: now.mono,
     };
     state.claims.own.insert(id, claim);
-    ask(state, now, id, out);
-    decide(state, now, id, Waited::Little, out);
+    request_votes(state, now, id, out);
+    evaluate_votes(state, now, id, Waited::Little, out);
 }
 
 /// A voter answered.
-pub fn voted(state: &mut State, now: Now, from: VmId, vote: &Vote, out: &mut Vec<Effect>) {
+pub fn on_vote(state: &mut State, now: Now, from: VmId, vote: &Vote, out: &mut Vec<Effect>) {
     let id = RequestId(vote.request);
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if ClaimKey::from_bytes(&vote.key) != Some(claim.key) {
@@ -74,7 +74,7 @@
     if claim.phase != ClaimPhase::Asking {
         if vote.verdict() == Verdict::Done {
             claim.note_told(from);
-            forget_if_told(state, id);
+            forget_if_confirmed(state, id);
         }
         return;
     }
@@ -89,36 +89,36 @@
         give_up(state, now, id, out);
         return;
     }
-    decide(state, now, id, Waited::Little, out);
+    evaluate_votes(state, now, id, Waited::Little, out);
 }
 
 /// Votes or confirmations did not come in time, or there is something to tell the voters.
-pub fn timed_out(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
+pub fn on_timer(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if now.mono < claim.due {
         return;
     }
-    let is_settled = claim.sent != 0 && (claim.is_told() || TELL_ROUNDS <= claim.sent);
+    let is_send_done = claim.sent != 0 && (claim.is_told() || MAX_RECORD_SENDS <= claim.sent);
     match claim.phase {
         ClaimPhase::Asking if claim.deadline <= now.mono => give_up(state, now, id, out),
         ClaimPhase::Asking => {
-            decide(state, now, id, Waited::Enough, out);
-            ask(state, now, id, out);
-            decide(state, now, id, Waited::Little, out);
+            evaluate_votes(state, now, id, Waited::Enough, out);
+            request_votes(state, now, id, out);
+            evaluate_votes(state, now, id, Waited::Little, out);
         }
-        ClaimPhase::Held if is_settled => {
+        ClaimPhase::Held if is_send_done => {
             claim.renew();
-            wait(state, now, id, renewal(state));
+            schedule(state, now, id, renewal_interval(state));
         }
-        ClaimPhase::Ending if is_settled => {
+        ClaimPhase::Ending if is_send_done => {
             state.claims.own.remove(&id);
         }
-        ClaimPhase::Held | ClaimPhase::Ending => tell(state, now, id, out),
+        ClaimPhase::Held | ClaimPhase::Ending => send_record(state, now, id, out),
     }
 }
 
 /// A request's stream has a place now: its voters should know, so that a repeat can join it.
-pub fn located(state: &mut State, key: RequestKey) {
+pub fn publish_stream(state: &mut State, key: RequestKey) {
     let Some(request) = state.requests.arena.get(key) else { return };
     let Some((endpoint, stream)) = state.requests.stream(key) else { return };
     let Some(claim) = state.claims.own.get_mut(&request.id) else { return };
@@ -131,12 +131,12 @@
     claim.record.endpoint = if is_whole { endpoint.0 } else { 0 };
     claim.record.stream = if is_whole { stream.to_owned() } else { String::new() };
     let id = request.id;
-    publish(state, id);
+    publish_record(state, id);
 }
 
 /// A request's stream is read on by another one with the same key. The voters keep what they know, so
 /// that a later repeat still finds the stream.
-pub fn handed_on(state: &mut State, key: RequestKey) {
+pub fn forget_handed_over(state: &mut State, key: RequestKey) {
     if let Some(request) = state.requests.arena.get(key) {
         state.claims.own.remove(&request.id);
     }
@@ -147,11 +147,11 @@
 /// A request of which nothing was run gives its key back, so that the caller's retry can run. So does
 /// a repeatable one whose caller left before the end: the caller that comes again with the same key
 /// has not had its answer.
-pub fn ended(state: &mut State, request: &Request, outcome: Outcome) {
+pub fn on_ended(state: &mut State, request: &Request, outcome: Outcome) {
     let is_sent = state.claims.own.get(&request.id).is_some_and(|claim| claim.is_sent);
-    let is_freed = outcome == Outcome::Abandoned && (!is_sent || request.repeatable);
-    let outcome = if is_freed { Outcome::NotRun } else { outcome };
-    end(state, request.id, outcome);
+    let releases_key = outcome == Outcome::Abandoned && (!is_sent || request.repeatable);
+    let outcome = if releases_key { Outcome::NotRun } else { outcome };
+    publish_outcome(state, request.id, outcome);
 }
 
 /// Refuses requests that won their key so long ago that voters may forget it before they hear that
@@ -161,7 +161,7 @@
 /// a request that a repeat may have run in the meantime. The symptom is one order placed twice, with
 /// the first daemon's log silent in between. Called before each event, as any event may lead to
 /// sending.
-pub fn expire(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+pub fn refuse_expired(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     while let Some(&(at, id)) = state.claims.unsent.front() {
         if now.mono < at {
             return;
@@ -176,7 +176,7 @@
 }
 
 /// Remembers the claims whose requests were sent somewhere by the effects of one event.
-pub fn remember(state: &mut State, effects: &[Effect]) {
+pub fn record_sent(state: &mut State, effects: &[Effect]) {
     if state.claims.own.is_empty() {
         return;
     }
@@ -194,7 +194,7 @@
 }
 
 /// Asks voters for the key. Live ones go first, and this daemon itself before all others.
-fn ask(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
+fn request_votes(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase != ClaimPhase::Asking {
         return;
@@ -220,11 +220,17 @@
             out.push(Effect::Send { to: vm, message: Body::Claim(message.clone()).into() });
         }
     }
-    wait(state, now, id, state.local.tuning.peer_timeout);
+    schedule(state, now, id, state.local.tuning.peer_timeout);
 }
 
 /// Acts on the votes so far.
-fn decide(state: &mut State, now: Now, id: RequestId, waited: Waited, out: &mut Vec<Effect>) {
+fn evaluate_votes(
+    state: &mut State,
+    now: Now,
+    id: RequestId,
+    waited: Waited,
+    out: &mut Vec<Effect>,
+) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase != ClaimPhase::Asking {
         return;
@@ -232,24 +238,24 @@
     let key = claim.request;
     match claim.standing(waited) {
         Standing::Open if claim.wants_more() => {
-            ask(state, now, id, out);
-            decide(state, now, id, waited, out);
+            request_votes(state, now, id, out);
+            evaluate_votes(state, now, id, waited, out);
         }
         Standing::Open => {}
         Standing::Won => {
             claim.phase = ClaimPhase::Held;
             claim.renew();
-            wait(state, now, id, renewal(state));
-            let lapse = now.mono + state.local.tuning.key_window / 2;
-            state.claims.unsent.push_back((lapse, id));
+            schedule(state, now, id, renewal_interval(state));
+            let expires_at = now.mono + state.local.tuning.key_window / 2;
+            state.claims.unsent.push_back((expires_at, id));
             admit::on_key_claimed(state, now, key, out);
         }
         Standing::Lost(record) => {
-            if succeed::goes_on(state, now, id, record.as_ref()) {
+            if takeover::reopen_claim(state, now, id, record.as_ref()) {
                 return;
             }
-            end(state, id, Outcome::NotRun);
-            repeat(state, now, key, record, out);
+            publish_outcome(state, id, Outcome::NotRun);
+            answer_repeat(state, now, key, record, out);
         }
     }
 }
@@ -263,12 +269,12 @@
         Standing::Lost(record) => record.clone(),
         Standing::Open | Standing::Won => claim.rival(),
     };
-    if succeed::goes_on(state, now, id, rival.as_ref()) {
+    if takeover::reopen_claim(state, now, id, rival.as_ref()) {
         return;
     }
-    end(state, id, Outcome::NotRun);
+    publish_outcome(state, id, Outcome::NotRun);
     match standing {
-        Standing::Lost(record) => repeat(state, now, key, record, out),
+        Standing::Lost(record) => answer_repeat(state, now, key, record, out),
         Standing::Open | Standing::Won => {
             settle::refuse(state, now, key, Refusal::KeyUnclaimed, out);
         }
@@ -276,7 +282,7 @@
 }
 
 /// Another request has the key, or nobody can tell: answer without a run.
-fn repeat(
+fn answer_repeat(
     state: &mut State,
     now: Now,
     key: RequestKey,
@@ -290,7 +296,7 @@
             now,
             key,
             Refusal::KeyUnclaimed,
-            Some(COME_BACK),
+            Some(UNDECIDED_RETRY_AFTER),
             out,
         );
         return;
@@ -312,19 +318,19 @@
 }
 
 /// A request ended: the voters are told until they confirm it.
-fn end(state: &mut State, id: RequestId, outcome: Outcome) {
+fn publish_outcome(state: &mut State, id: RequestId, outcome: Outcome) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase == ClaimPhase::Ending {
         return;
     }
     claim.phase = ClaimPhase::Ending;
     claim.record.outcome = outcome.code();
-    publish(state, id);
+    publish_record(state, id);
 }
 
 /// Has the voters told what changed: the timer fires within the same event, and there the time is
 /// known.
-fn publish(state: &mut State, id: RequestId) {
+fn publish_record(state: &mut State, id: RequestId) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     claim.renew();
     claim.due = Duration::ZERO;
@@ -332,38 +338,38 @@
 }
 
 /// Sends the record to the voters that have not confirmed it.
-fn tell(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
+fn send_record(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let own = state.local.vm;
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     let message = Settle { key: claim.key.0.to_vec(), record: Some(claim.record.clone()) };
-    let pause = state.local.tuning.peer_timeout * TELL_GROWTH.pow(claim.sent);
+    let delay = state.local.tuning.peer_timeout * SEND_BACKOFF_FACTOR.pow(claim.sent);
     claim.sent += 1;
-    let untold: Vec<_> =
+    let unconfirmed: Vec<_> =
         claim.ballots.iter().filter(|b| b.asked && !b.told).map(|b| b.vm).collect();
     claim.note_told(own);
-    for vm in untold {
+    for vm in unconfirmed {
         if vm == own {
-            vote::note(state, now, &message);
+            vote::apply_settle(state, now, &message);
         } else {
             out.push(Effect::Send { to: vm, message: Body::Settle(message.clone()).into() });
         }
     }
-    wait(state, now, id, pause);
-    forget_if_told(state, id);
+    schedule(state, now, id, delay);
+    forget_if_confirmed(state, id);
 }
 
 /// Sets when to ask or tell again.
-fn wait(state: &mut State, now: Now, id: RequestId, pause: Duration) {
+fn schedule(state: &mut State, now: Now, id: RequestId, delay: Duration) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
-    claim.due = now.mono + pause;
+    claim.due = now.mono + delay;
     state.timers.set(claim.due, Timer::Claim(id));
 }
 
-fn renewal(state: &State) -> Duration {
-    state.local.tuning.key_window / RENEWALS
+fn renewal_interval(state: &State) -> Duration {
+    state.local.tuning.key_window / RENEWALS_PER_WINDOW
 }
 
-fn forget_if_told(state: &mut State, id: RequestId) {
+fn forget_if_confirmed(state: &mut State, id: RequestId) {
     let claim = state.claims.own.get(&id);
     if claim.is_some_and(|c| c.phase == ClaimPhase::Ending && c.is_told()) {
         state.claims.own.remove(&id);
--- a/crates/basilbank_core/src/reduce/claim/succeed.rs
+++ b/crates/basilbank_core/src/reduce/claim/takeover.rs
@@ -4,7 +4,7 @@
 
 use basilbank_wire::KeyRecord;
 
-use super::ASK_ROUNDS;
+use super::MAX_VOTE_REQUESTS;
 use crate::{
     ids::{RequestId, VmId},
     state::{ClaimPhase, State, Timer},
@@ -12,7 +12,7 @@
 };
 
 /// Time between two questions for a key that another request has.
-const PAUSE: Duration = Duration::from_millis(250);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Whether a claim that is lost to another request goes on all the same; the voters are asked again
 /// then.
@@ -21,24 +21,29 @@
 /// Its caller comes again with the same key, and would be refused until the key window is over: a
 /// draft that is lost for ten minutes. So the repeat waits as long as its class may wait. Either the
 /// stream shows up, or the daemon turns out to be gone; what may run twice is then run anew.
-pub fn goes_on(state: &mut State, now: Now, id: RequestId, first: Option<&KeyRecord>) -> bool {
-    let Some(first) = first else { return false };
-    let is_gone = is_gone(state, first);
+pub fn reopen_claim(
+    state: &mut State,
+    now: Now,
+    id: RequestId,
+    earlier: Option<&KeyRecord>,
+) -> bool {
+    let Some(earlier) = earlier else { return false };
+    let is_gone = is_gone(state, earlier);
     let Some(claim) = state.claims.own.get_mut(&id) else { return false };
     let Some(request) = state.requests.arena.get(claim.request) else { return false };
-    let is_bare = first.outcome == 0 && first.stream.is_empty();
-    if !is_bare || !first.repeatable || !request.repeatable {
+    let is_running_without_stream = earlier.outcome == 0 && earlier.stream.is_empty();
+    if !is_running_without_stream || !earlier.repeatable || !request.repeatable {
         return false;
     }
-    let is_news = is_gone && claim.after != first.request;
-    if !is_news && request.until < now.mono + PAUSE {
+    let is_newly_gone = is_gone && claim.after != earlier.request;
+    if !is_newly_gone && request.until < now.mono + RECHECK_INTERVAL {
         return false;
     }
-    claim.after = if is_gone { first.request } else { 0 };
+    claim.after = if is_gone { earlier.request } else { 0 };
     claim.phase = ClaimPhase::Asking;
     claim.reopen();
-    claim.due = now.mono + if is_news { Duration::ZERO } else { PAUSE };
-    claim.deadline = claim.due + state.local.tuning.peer_timeout * ASK_ROUNDS;
+    claim.due = now.mono + if is_newly_gone { Duration::ZERO } else { RECHECK_INTERVAL };
+    claim.deadline = claim.due + state.local.tuning.peer_timeout * MAX_VOTE_REQUESTS;
     state.timers.set(claim.due, Timer::Claim(id));
     true
 }
--- a/crates/basilbank_core/src/reduce/claim/vote.rs
+++ b/crates/basilbank_core/src/reduce/claim/vote.rs
@@ -13,16 +13,16 @@
 };
 
 /// A peer claims a key at this daemon.
-pub fn asked(state: &mut State, now: Now, from: VmId, claim: &Claim, out: &mut Vec<Effect>) {
+pub fn on_claim(state: &mut State, now: Now, from: VmId, claim: &Claim, out: &mut Vec<Effect>) {
     let vote = cast(state, now, from, claim, out);
     out.push(Effect::Send { to: from, message: Body::Vote(vote).into() });
 }
 
 /// A peer tells where a key's request runs or how it ended. The vote that goes back confirms it.
-pub fn told(state: &mut State, now: Now, from: VmId, settle: &Settle, out: &mut Vec<Effect>) {
+pub fn on_settle(state: &mut State, now: Now, from: VmId, settle: &Settle, out: &mut Vec<Effect>) {
     let Some(record) = &settle.record else { return };
     state.claims.table.expire(now.mono);
-    note(state, now, settle);
+    apply_settle(state, now, settle);
     let vote = Vote {
         key: settle.key.clone(),
         request: record.request,
@@ -33,7 +33,7 @@
 }
 
 /// The platform's list may have changed, and with it the keys that this daemon votes on.
-pub fn list_changed(state: &mut State, now: Now) {
+pub fn update_tenure(state: &mut State, now: Now) {
     let window = state.local.tuning.key_window;
     state.claims.tenure.update(now, window, &state.members);
 }
@@ -42,7 +42,7 @@
 pub fn cast(state: &mut State, now: Now, from: VmId, claim: &Claim, out: &mut Vec<Effect>) -> Vote {
     state.claims.table.expire(now.mono);
     let (verdict, record) = match ClaimKey::from_bytes(&claim.key) {
-        Some(key) => judge(state, now, from, key, claim, out),
+        Some(key) => decide_vote(state, now, from, key, claim, out),
         None => (Verdict::Abstain, None),
     };
     Vote { key: claim.key.clone(), request: claim.request, verdict: verdict.into(), record }
@@ -52,13 +52,13 @@
 ///
 /// Only a request that won its key says anything but 'not run', so what it says goes before a grant
 /// to another. A record that has ended is not opened again by news that was overtaken on the way.
-pub fn note(state: &mut State, now: Now, settle: &Settle) {
+pub fn apply_settle(state: &mut State, now: Now, settle: &Settle) {
     let Some(key) = ClaimKey::from_bytes(&settle.key) else { return };
     let Some(record) = &settle.record else { return };
     let known = state.claims.table.get(&key).map(|entry| &entry.record);
-    let is_own = known.is_some_and(|k| k.request == record.request);
+    let is_same_request = known.is_some_and(|k| k.request == record.request);
     if record.outcome == Outcome::NotRun.code() {
-        if is_own {
+        if is_same_request {
             state.claims.table.remove(&key);
         }
         return;
@@ -70,7 +70,7 @@
     state.claims.table.put(key, record.clone(), expires);
 }
 
-fn judge(
+fn decide_vote(
     state: &mut State,
     now: Now,
     from: VmId,
@@ -79,8 +79,8 @@
     out: &mut Vec<Effect>,
 ) -> (Verdict, Option<KeyRecord>) {
     let known = state.claims.table.get(&key).map(|entry| &entry.record);
-    let follows = known.is_some_and(|record| may_follow(claim, record));
-    if let Some(record) = known.filter(|_| !follows) {
+    let takes_over = known.is_some_and(|record| may_take_over(claim, record));
+    if let Some(record) = known.filter(|_| !takes_over) {
         let verdict = match record.outcome {
             0 if record.request == claim.request => return (Verdict::Granted, None),
             0 => Verdict::Running,
@@ -88,11 +88,11 @@
         };
         return (verdict, Some(record.clone()));
     }
-    let may_grant = follows || would_know(state, now, key, claim.made);
+    let may_grant = takes_over || would_remember(state, now, key, claim.made);
     if !state.members.may_decide() || !may_grant {
         return (Verdict::Abstain, None);
     }
-    if !follows && state.local.tuning.keys <= state.claims.table.len() {
+    if !takes_over && state.local.tuning.keys <= state.claims.table.len() {
         let pairs = vec![("keys", state.claims.table.len().to_string())];
         out.push(Effect::Progress(Progress::Note { name: "key_table_full", fields: pairs }));
         return (Verdict::Overflow, None);
@@ -109,9 +109,9 @@
 }
 
 /// Whether a claim's request may take the key over from the one that has it.
-fn may_follow(claim: &Claim, record: &KeyRecord) -> bool {
-    let is_meant = claim.after != 0 && claim.after == record.request;
-    is_meant && record.outcome == 0 && record.repeatable && claim.repeatable
+fn may_take_over(claim: &Claim, record: &KeyRecord) -> bool {
+    let is_named = claim.after != 0 && claim.after == record.request;
+    is_named && record.outcome == 0 && record.repeatable && claim.repeatable
 }
 
 /// Whether this daemon would remember the key if an earlier request had claimed it.
@@ -120,21 +120,21 @@
 /// was made after it became a voter; and no voter does when the key was made before the window, as
 /// its first request may have come and been forgotten. A key from the future has a wrong clock
 /// behind it, so its time says nothing.
-fn would_know(state: &State, now: Now, key: ClaimKey, made: u64) -> bool {
+fn would_remember(state: &State, now: Now, key: ClaimKey, made: u64) -> bool {
     let Some(since) = state.claims.tenure.since(state.local.vm, key.subject()) else {
         return false;
     };
     let tuning = &state.local.tuning;
-    let skew = millis(tuning.skew);
-    let window = millis(tuning.key_window);
+    let skew = to_millis(tuning.skew);
+    let window = to_millis(tuning.key_window);
     let is_timed = made != 0 && made <= now.unix_ms() + skew;
     if is_timed && made + window < now.unix_ms() + skew {
         return false;
     }
-    let is_old = since.mono + tuning.key_window <= now.mono;
-    is_old || (is_timed && since.wall + skew < made)
+    let is_long_standing = since.mono + tuning.key_window <= now.mono;
+    is_long_standing || (is_timed && since.wall + skew < made)
 }
 
-fn millis(duration: Duration) -> u64 {
+fn to_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/basilbank_core/src/reduce/decode.rs
+++ b/crates/basilbank_core/src/reduce/decode.rs
@@ -132,7 +132,7 @@
     let base_offset = resume_offset(state, attempt) - i64::from(base);
     let answer = Answer::Located { endpoint: slot.endpoint, stream, base_offset };
     out.push(Effect::Answer { caller, answer });
-    claim::located(state, request);
+    claim::publish_stream(state, request);
 }
 
 /// The stream's token at which this call started to read it; 0 unless a cursor said otherwise.
--- a/crates/basilbank_core/src/reduce/health.rs
+++ b/crates/basilbank_core/src/reduce/health.rs
@@ -47,7 +47,7 @@
                 log_endpoint(endpoint, "endpoint_back", out);
             }
             reconcile_ledger(state, now, endpoint, *running, *age);
-            slots::serve(state, now, endpoint, out);
+            slots::grant_waiting(state, now, endpoint, out);
         }
         EngineReport::Cache { added, evicted, .. } => {
             let prefixes = &mut state.health.prefixes;
--- a/crates/basilbank_core/src/reduce/limit.rs
+++ b/crates/basilbank_core/src/reduce/limit.rs
@@ -5,14 +5,14 @@
 //! the limit is used up the steward refuses, and calls of which nothing was sent yet are refused.
 //! A daemon that can't reach a steward stays within the limit over the number of listed VMs.
 
-mod ask;
-mod steward;
+mod holder;
+mod owner;
 
 use std::time::Duration;
 
 use basilbank_wire::{AskLimit, Body, LimitAnswer, LimitLease, Message};
 
-pub use self::ask::tick;
+pub use self::holder::tick;
 use crate::{
     catalogue::Limits,
     effect::Effect,
@@ -35,37 +35,37 @@
     out: &mut Vec<Effect>,
 ) -> Result<(), Refusal> {
     let Some(limits) = limits(state, entry) else { return Ok(()) };
-    let part = own_part(state, &limits);
+    let own_share = own_share(state, &limits);
     let usage = state.limits.used.entry(entry);
-    let usage = usage.or_insert_with(|| Usage::new(&part, now.mono));
+    let usage = usage.or_insert_with(|| Usage::new(&own_share, now.mono));
     usage.want(tokens, now.mono);
     usage.expire(now.mono);
-    ask::before(state, now, entry, out);
-    let can_tell = can_tell(state, entry);
+    holder::request_first_lease(state, now, entry, out);
+    let can_report = can_report(state, entry);
     let Some(usage) = state.limits.used.get_mut(&entry) else { return Ok(()) };
     let is_trusted = !usage.is_dense(now.mono) || now.mono < usage.trusted;
-    let mut is_told = usage.lease.is_none() && can_tell && is_trusted;
-    if !is_told {
-        let share = usage.lease.map_or(part, |(share, _)| share);
+    let mut is_reported = usage.lease.is_none() && can_report && is_trusted;
+    if !is_reported {
+        let share = usage.lease.map_or(own_share, |(share, _)| share);
         let taken = usage.take(&limits, &share, tokens, now.mono);
-        is_told = usage.lease.is_none();
+        is_reported = usage.lease.is_none();
         if let Err(refusal) = taken {
             let is_burst = refusal != Refusal::ConcurrentLimit && usage.lease.is_some();
-            if !is_burst || !usage.ample || !can_tell {
-                ask::more(state, now, entry, out);
+            if !is_burst || !usage.ample || !can_report {
+                holder::request_more(state, now, entry, out);
                 return Err(refusal);
             }
-            is_told = true;
+            is_reported = true;
         }
     }
     usage.running += 1;
-    if is_told {
+    if is_reported {
         usage.untold_requests += 1;
         usage.untold_tokens += i64::from(tokens);
-        return ask::after_taking(state, now, entry, out);
+        return holder::report_taken(state, now, entry, out);
     }
     if usage.is_hungry(&limits) {
-        ask::more(state, now, entry, out);
+        holder::request_more(state, now, entry, out);
     }
     Ok(())
 }
@@ -79,27 +79,39 @@
 }
 
 /// A daemon asks this one, as an entry's steward, for part of the limit.
-pub fn asked(state: &mut State, now: Now, from: VmId, ask: &AskLimit, out: &mut Vec<Effect>) {
-    if let Some(lease) = steward::decide(state, now, from, ask) {
+pub fn on_ask_limit(
+    state: &mut State,
+    now: Now,
+    from: VmId,
+    ask: &AskLimit,
+    out: &mut Vec<Effect>,
+) {
+    if let Some(lease) = owner::answer_report(state, now, from, ask) {
         let message = Message::from(Body::Lease(lease));
         out.push(Effect::Send { to: from, message });
     }
 }
 
 /// An entry's steward leases part of the limit to this daemon, or refuses what it took without.
-pub fn leased(state: &mut State, now: Now, from: VmId, lease: &LimitLease, out: &mut Vec<Effect>) {
+pub fn on_lease(
+    state: &mut State,
+    now: Now,
+    from: VmId,
+    lease: &LimitLease,
+    out: &mut Vec<Effect>,
+) {
     let entry = EntryId(lease.entry);
     let asked = state.limits.used.get(&entry).and_then(|usage| usage.asked);
     if asked.is_none_or(|(vm, _)| vm != from) {
         return;
     }
-    if let Some(refusal) = apply(state, now, lease) {
-        refuse_waiting(state, now, entry, refusal, out);
+    if let Some(refusal) = apply_lease(state, now, lease) {
+        refuse_unsent(state, now, entry, refusal, out);
     }
 }
 
 /// Takes a steward's answer over, and gives the refusal that it may be.
-fn apply(state: &mut State, now: Now, lease: &LimitLease) -> Option<Refusal> {
+fn apply_lease(state: &mut State, now: Now, lease: &LimitLease) -> Option<Refusal> {
     let chance = state.rng.unit();
     let usage = state.limits.used.get_mut(&EntryId(lease.entry))?;
     let until = now.mono + Duration::from_millis(u64::from(lease.ttl));
@@ -129,16 +141,16 @@
 
 /// The steward refuses calls that were taken on trust: those of which nothing was sent yet are
 /// refused, the others run and are owed.
-fn refuse_waiting(
+fn refuse_unsent(
     state: &mut State,
     now: Now,
     entry: EntryId,
     refusal: Refusal,
     out: &mut Vec<Effect>,
 ) {
-    let fresh = state.local.tuning.peer_timeout;
+    let window = state.local.tuning.peer_timeout;
     let recent = state.requests.arena.iter().filter(|(_, r)| {
-        r.entry == entry && now.mono.saturating_sub(r.accepted) <= fresh && !r.is_limited
+        r.entry == entry && now.mono.saturating_sub(r.accepted) <= window && !r.is_limited
     });
     let recent: Vec<_> = recent.map(|(key, request)| (key, request.taken)).collect();
     for (key, tokens) in recent {
@@ -172,13 +184,13 @@
 }
 
 /// This daemon's part of an entry's limits when nobody can be asked.
-fn own_part(state: &State, limits: &Limits) -> LimitShare {
+fn own_share(state: &State, limits: &Limits) -> LimitShare {
     let listed = state.members.ring().len().max(1);
     LimitShare::fraction(limits, 1.0 / listed as f64)
 }
 
 /// Whether there is a steward who would refuse if the limit were used up.
-fn can_tell(state: &State, entry: EntryId) -> bool {
+fn can_report(state: &State, entry: EntryId) -> bool {
     let presence = &state.members.presence;
     presence.listed && presence.waiting.is_none() && state.members.steward(entry.0).is_some()
 }
--- a/crates/basilbank_core/src/reduce/limit/ask.rs
+++ b/crates/basilbank_core/src/reduce/limit/holder.rs
@@ -4,7 +4,7 @@
 
 use basilbank_wire::{AskLimit, Body, Message};
 
-use super::{apply, limits, steward};
+use super::{apply_lease, limits, owner};
 use crate::{
     catalogue::Limits,
     effect::Effect,
@@ -15,58 +15,59 @@
 };
 
 /// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// A lease is renewed when it has this long to go.
-const RENEW: Duration = Duration::from_secs(1);
+const RENEWAL_MARGIN: Duration = Duration::from_secs(1);
 /// A daemon without a lease asks again after this.
-const AGAIN: Duration = Duration::from_millis(250);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 /// A daemon whose lease is nearly used up asks for more after this.
-const SOON: Duration = Duration::from_millis(100);
+const MIN_INTERVAL_FOR_MORE: Duration = Duration::from_millis(100);
 /// One whose lease is a ration asks after this: nobody has more to give.
-const RATION_SOON: Duration = Duration::from_secs(2);
+const MIN_INTERVAL_FOR_MORE_RATION: Duration = Duration::from_secs(2);
 /// Requests in progress without a lease are told again after this, so that a new steward learns of
 /// them.
-const TELL_AGAIN: Duration = Duration::from_secs(10);
+const RUNNING_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 /// A lease is renewed if calls came within this time.
-const USED: Duration = Duration::from_secs(10);
+const RENEWED_IF_USED_WITHIN: Duration = Duration::from_secs(10);
 /// An entry that was not used for this long is forgotten.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Renews leases, tells what is untold, and forgets what is idle.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    state.timers.set(now.mono + TICK, Timer::Limits);
-    steward::forget(state, now);
+    state.timers.set(now.mono + TICK_INTERVAL, Timer::Limits);
+    owner::forget_idle(state, now);
     let entries: Vec<_> = state.limits.used.keys().copied().collect();
     for entry in entries {
         let limits = limits(state, entry);
         let Some(usage) = state.limits.used.get_mut(&entry) else { continue };
         usage.expire(now.mono);
-        let Some(limits) = limits.filter(|l| !usage.is_idle(l, IDLE, now.mono)) else {
+        let Some(limits) = limits.filter(|l| !usage.is_idle(l, IDLE_TIMEOUT, now.mono)) else {
             state.limits.used.remove(&entry);
             continue;
         };
         if is_due(usage, &limits, now) {
-            ask(state, now, entry, out);
+            send_report(state, now, entry, out);
         }
     }
 }
 
 /// Asks before a call is taken: for the first lease, when calls begin to come often.
-pub fn before(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
+pub fn request_first_lease(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
     let Some(usage) = state.limits.used.get(&entry) else { return };
     let is_own = state.members.steward(entry.0) == Some(state.local.vm);
     let is_wanted = usage.lease.is_none() && usage.trusted <= now.mono;
     if is_own && is_wanted && usage.is_dense(now.mono) {
-        ask(state, now, entry, out);
+        send_report(state, now, entry, out);
     }
 }
 
 /// Asks for more, unless that was done a moment ago.
-pub fn more(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
+pub fn request_more(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
     let Some(usage) = state.limits.used.get(&entry) else { return };
-    let wait = if usage.is_rationed() { RATION_SOON } else { SOON };
-    if usage.is_dense(now.mono) && is_past(usage.asked, wait, now) {
-        ask(state, now, entry, out);
+    let interval =
+        if usage.is_rationed() { MIN_INTERVAL_FOR_MORE_RATION } else { MIN_INTERVAL_FOR_MORE };
+    if usage.is_dense(now.mono) && has_passed(usage.asked, interval, now) {
+        send_report(state, now, entry, out);
     }
 }
 
@@ -74,13 +75,13 @@
 ///
 /// # Errors
 /// This daemon is the steward, and the limit is used up; the call is given back.
-pub fn after_taking(
+pub fn report_taken(
     state: &mut State,
     now: Now,
     entry: EntryId,
     out: &mut Vec<Effect>,
 ) -> Result<(), Refusal> {
-    let Some(refusal) = ask(state, now, entry, out) else { return Ok(()) };
+    let Some(refusal) = send_report(state, now, entry, out) else { return Ok(()) };
     if let Some(usage) = state.limits.used.get_mut(&entry) {
         usage.running -= 1;
     }
@@ -90,24 +91,34 @@
 fn is_due(usage: &Usage, limits: &Limits, now: Now) -> bool {
     let is_dense = usage.is_dense(now.mono);
     if let Some((_, until)) = usage.lease {
-        let is_used = is_dense || now.mono < usage.touched + USED;
-        return is_used && until <= now.mono + RENEW && is_past(usage.asked, AGAIN, now);
+        let is_used = is_dense || now.mono < usage.touched + RENEWED_IF_USED_WITHIN;
+        return is_used
+            && until <= now.mono + RENEWAL_MARGIN
+            && has_passed(usage.asked, MIN_REQUEST_INTERVAL, now);
     }
-    let is_wanted =
-        is_dense && now.mono < usage.touched + RENEW && is_past(usage.asked, AGAIN, now);
+    let is_wanted = is_dense
+        && now.mono < usage.touched + RENEWAL_MARGIN
+        && has_passed(usage.asked, MIN_REQUEST_INTERVAL, now);
     let is_running = 0 < usage.running && 0 < limits.concurrent;
-    is_wanted || usage.is_untold(limits) || (is_running && is_past(usage.asked, TELL_AGAIN, now))
+    is_wanted
+        || usage.is_untold(limits)
+        || (is_running && has_passed(usage.asked, RUNNING_REPORT_INTERVAL, now))
 }
 
-fn is_past(asked: Option<(VmId, Duration)>, time: Duration, now: Now) -> bool {
-    asked.is_none_or(|(_, at)| at + time <= now.mono)
+fn has_passed(last_request: Option<(VmId, Duration)>, interval: Duration, now: Now) -> bool {
+    last_request.is_none_or(|(_, at)| at + interval <= now.mono)
 }
 
 /// Asks and tells; gives the refusal when this daemon is the steward itself.
-fn ask(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) -> Option<Refusal> {
+fn send_report(
+    state: &mut State,
+    now: Now,
+    entry: EntryId,
+    out: &mut Vec<Effect>,
+) -> Option<Refusal> {
     let to = state.members.steward(entry.0)?;
     let usage = state.limits.used.get_mut(&entry)?;
-    let message = message(usage, entry, now);
+    let message = new_report(usage, entry, now);
     usage.asked = Some((to, now.mono));
     usage.untold_requests = 0;
     usage.untold_tokens = 0;
@@ -117,11 +128,11 @@
         out.push(Effect::Send { to, message });
         return None;
     }
-    let lease = steward::decide(state, now, to, &message)?;
-    apply(state, now, &lease)
+    let lease = owner::answer_report(state, now, to, &message)?;
+    apply_lease(state, now, &lease)
 }
 
-fn message(usage: &Usage, entry: EntryId, now: Now) -> AskLimit {
+fn new_report(usage: &Usage, entry: EntryId, now: Now) -> AskLimit {
     let mut ask = AskLimit {
         entry: entry.0,
         running: usage.running,
--- a/crates/basilbank_core/src/reduce/limit/steward.rs
+++ b/crates/basilbank_core/src/reduce/limit/owner.rs
@@ -14,65 +14,70 @@
 };
 
 /// Length of a lease.
-const TTL: Duration = Duration::from_secs(2);
+const LEASE_TTL: Duration = Duration::from_secs(2);
 /// Length of a lease that is less than its holder's part: others' leases shrink meanwhile.
-const SHORT: Duration = Duration::from_millis(500);
+const SHORT_LEASE_TTL: Duration = Duration::from_millis(500);
 /// The steward counts a lease for this much longer than its holder, who hears of it later.
-const GRACE: Duration = Duration::from_millis(100);
+const LEASE_GRACE: Duration = Duration::from_millis(100);
 /// For this long after the live members changed, another daemon may still lease as steward.
-const CAUTION: Duration = Duration::from_secs(5);
+const TAKEOVER_CAUTION: Duration = Duration::from_secs(5);
 /// Calls a second of a daemon that does not say.
-const RARE: f64 = 0.1;
+const RARE_CALLS_PER_SECOND: f64 = 0.1;
 /// For this long a daemon may take frequent calls on trust. Each is told, so a steward that has to
 /// stop it can, and one that is gone is no steward any more.
-const TRUST: Duration = Duration::from_secs(30);
+const TRUST_TTL: Duration = Duration::from_secs(30);
 /// Length of a ration: long enough for a rare call to come.
 const RATION_TTL: Duration = Duration::from_secs(10);
 /// Length of a ration for a daemon that has not said how much it wants.
-const GUESS_TTL: Duration = Duration::from_secs(3);
+const UNKNOWN_DEMAND_TTL: Duration = Duration::from_secs(3);
 /// Length of a ration when requests in progress are short: what it allows is soon another's.
-const SLOT_TTL: Duration = Duration::from_secs(1);
+const CONCURRENCY_TTL: Duration = Duration::from_secs(1);
 
 /// Takes a report in, and gives the lease or refusal that answers it, if one is due.
-pub fn decide(state: &mut State, now: Now, from: VmId, ask: &AskLimit) -> Option<LimitLease> {
+pub fn answer_report(
+    state: &mut State,
+    now: Now,
+    from: VmId,
+    ask: &AskLimit,
+) -> Option<LimitLease> {
     let entry = EntryId(ask.entry);
     let presence = &state.members.presence;
     if !presence.listed || presence.waiting.is_some() {
         return None;
     }
-    let whole = limits(state, entry)?;
-    let limits = reachable_part(state, &whole);
+    let full_limits = limits(state, entry)?;
+    let limits = reachable_limits(state, &full_limits);
     let changed = state.members.changed_at;
     let listed = state.members.ring().len().max(1) as f64;
     let shared = state.limits.shared.entry(entry);
     let shared = shared.or_insert_with(|| SharedLimit::new(now.mono));
     shared.fill(&limits, now.mono);
     shared.report(from, LimitDemand::of(ask), ask.running, now.mono);
-    let is_new = changed <= shared.since && now.mono < changed + CAUTION;
-    let part = LimitShare::fraction(&whole, 1.0 / listed);
-    let most = is_new.then(|| careful(ask, &part));
+    let is_new = changed <= shared.since && now.mono < changed + TAKEOVER_CAUTION;
+    let part = LimitShare::fraction(&full_limits, 1.0 / listed);
+    let most = is_new.then(|| cautious_share(ask, &part));
     let (limits, part, most) = (&limits, &part, most.as_ref());
     let terms = LeaseTerms { vm: from, limits, part, most, mono: now.mono };
     let taken = shared.take(limits, ask.taken, ask.taken_tokens, now.mono);
     if LimitDemand::of(ask).wants_lease()
-        && let Some(share) = shared.lease(&terms, now.mono + TTL + GRACE)
+        && let Some(share) = shared.lease(&terms, now.mono + LEASE_TTL + LEASE_GRACE)
     {
         if taken.is_err() {
             shared.owe(ask.taken, ask.taken_tokens);
         }
-        return Some(leased(shared, &terms, entry, &share));
+        return Some(lease_answer(shared, &terms, entry, &share));
     }
-    without_lease(shared, &terms, ask, taken)
+    answer_without_lease(shared, &terms, ask, taken)
 }
 
 /// The answer that carries a lease.
-fn leased(
+fn lease_answer(
     shared: &SharedLimit,
     terms: &LeaseTerms<'_>,
     entry: EntryId,
     share: &LimitShare,
 ) -> LimitLease {
-    let ttl = if shared.is_short(terms.limits, terms.mono) { SHORT } else { TTL };
+    let ttl = if shared.is_short(terms.limits, terms.mono) { SHORT_LEASE_TTL } else { LEASE_TTL };
     let is_ample = shared.is_ample(terms.limits, terms.mono);
     let kind = if is_ample { LimitAnswer::Ample } else { LimitAnswer::Leased };
     answer(entry, share, ttl, kind)
@@ -80,33 +85,33 @@
 
 /// The answer to a daemon for which no lease is worth it: trust while there is enough, a ration when
 /// there is not, nothing when it did not ask and all is well.
-fn without_lease(
+fn answer_without_lease(
     shared: &mut SharedLimit,
     terms: &LeaseTerms<'_>,
     ask: &AskLimit,
     taken: Result<(), Refusal>,
 ) -> Option<LimitLease> {
     let entry = EntryId(ask.entry);
-    let is_guess = !LimitDemand::of(ask).wants_lease();
+    let is_demand_unknown = !LimitDemand::of(ask).wants_lease();
     let shortage = shared.shortage(terms.limits, terms.mono);
     let kind = match (taken, shortage) {
-        (Err(refusal), _) => refused(refusal),
-        (Ok(()), _) if is_guess => return None,
+        (Err(refusal), _) => refusal_answer(refusal),
+        (Ok(()), _) if is_demand_unknown => return None,
         (Ok(()), Some(_)) => LimitAnswer::Rationed,
         (Ok(()), None) => {
-            return Some(answer(entry, &LimitShare::default(), TRUST, LimitAnswer::Trusted));
+            return Some(answer(entry, &LimitShare::default(), TRUST_TTL, LimitAnswer::Trusted));
         }
     };
-    if is_guess {
-        shared.report(terms.vm, rare(ask), ask.running, terms.mono);
+    if is_demand_unknown {
+        shared.report(terms.vm, rare_demand(ask), ask.running, terms.mono);
     }
-    let is_slots = shortage == Some(Shortage::Slots) || kind == LimitAnswer::NoSlots;
-    let ttl = match (is_slots, is_guess) {
-        (true, _) => SLOT_TTL,
-        (false, true) => GUESS_TTL,
+    let is_slot_shortage = shortage == Some(Shortage::Slots) || kind == LimitAnswer::NoSlots;
+    let ttl = match (is_slot_shortage, is_demand_unknown) {
+        (true, _) => CONCURRENCY_TTL,
+        (false, true) => UNKNOWN_DEMAND_TTL,
         (false, false) => RATION_TTL,
     };
-    let share = shared.ration(terms, terms.mono + ttl + GRACE);
+    let share = shared.ration(terms, terms.mono + ttl + LEASE_GRACE);
     Some(answer(entry, &share, ttl, kind))
 }
 
@@ -117,20 +122,20 @@
 }
 
 /// Forgets entries that nobody uses any more.
-pub fn forget(state: &mut State, now: Now) {
+pub fn forget_idle(state: &mut State, now: Now) {
     state.limits.shared.retain(|_, shared| !shared.is_idle(now.mono));
 }
 
 /// The demand of a daemon whose calls are rare: about as many as one for which it would ask for a
 /// lease.
-fn rare(ask: &AskLimit) -> LimitDemand {
-    let tokens = ask.taken_tokens.max(0) as f64 * RARE;
-    LimitDemand { requests: RARE, tokens, concurrent: ask.running + 1 }
+fn rare_demand(ask: &AskLimit) -> LimitDemand {
+    let tokens = ask.taken_tokens.max(0) as f64 * RARE_CALLS_PER_SECOND;
+    LimitDemand { requests: RARE_CALLS_PER_SECOND, tokens, concurrent: ask.running + 1 }
 }
 
 /// What a steward leases while another may still do so: what the asker has anyway, or its part by
 /// the length of the list. Without this, whatever the former steward leased would come on top.
-fn careful(ask: &AskLimit, part: &LimitShare) -> LimitShare {
+fn cautious_share(ask: &AskLimit, part: &LimitShare) -> LimitShare {
     LimitShare {
         requests: part.requests.max(ask.held as f64 / 1000.0),
         tokens: part.tokens.max(ask.held_tokens as f64),
@@ -140,18 +145,18 @@
 
 /// The limits by the share of the listed members that are heard: in a partition each side has its
 /// part, so that both together have no more than the whole.
-fn reachable_part(state: &State, limits: &Limits) -> Limits {
+fn reachable_limits(state: &State, limits: &Limits) -> Limits {
     let census = state.members.census(|m| m.live);
     if census.heard == census.of {
         return *limits;
     }
-    let part = census.heard as f64 / census.of.max(1) as f64;
-    let share = LimitShare::fraction(limits, part);
+    let fraction = census.heard as f64 / census.of.max(1) as f64;
+    let share = LimitShare::fraction(limits, fraction);
     let concurrent = if 0 < limits.concurrent { share.concurrent } else { 0 };
     Limits { requests: share.requests, tokens: share.tokens, concurrent, ..*limits }
 }
 
-fn refused(refusal: Refusal) -> LimitAnswer {
+fn refusal_answer(refusal: Refusal) -> LimitAnswer {
     match refusal {
         Refusal::ConcurrentLimit => LimitAnswer::NoSlots,
         Refusal::TokenLimit => LimitAnswer::NoTokens,
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -1,13 +1,13 @@
 //! Who is alive: heartbeats, pauses, isolation.
 
-mod beats;
-mod spread;
+mod gossip;
+mod summary;
 
 use std::time::Duration;
 
 use basilbank_wire::{Heartbeat, Seen};
 
-pub use self::spread::push;
+pub use self::gossip::push;
 use crate::{
     effect::{Effect, Progress},
     ids::VmId,
@@ -18,11 +18,11 @@
 
 /// After a pause, news counts from this many heartbeats on: packets that arrived during the pause
 /// and waited in the socket are read within less.
-const SETTLE: u32 = 2;
+const SETTLE_HEARTBEATS: u32 = 2;
 
 /// Looks for a pause of this process; comes before each event, since the first thing that a process
 /// reads after a pause may be a request for a slot that is another steward's by now.
-pub fn awake(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+pub fn detect_pause(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let gap = now.mono.saturating_sub(state.members.presence.last_event);
     state.members.presence.last_event = now.mono;
     if gap <= state.local.tuning.pause {
@@ -30,17 +30,18 @@
     }
     state.members.shift(gap);
     state.requests.shift(gap);
-    state.members.presence.waiting = Some(now.mono + state.local.tuning.heartbeat * SETTLE);
+    state.members.presence.waiting =
+        Some(now.mono + state.local.tuning.heartbeat * SETTLE_HEARTBEATS);
     note(out, "paused", vec![("gap_ms", gap.as_millis().to_string())]);
-    slots::awake(state);
-    order::awake(state);
-    judge(state, now, out);
-    catalogue::awake(state, now, out);
+    slots::on_pause(state);
+    order::on_pause(state);
+    update_may_decide(state, now, out);
+    catalogue::on_pause(state, now, out);
 }
 
 /// Takes in that a message came from a peer, and says whether it is current. A message of an
 /// incarnation that was followed by another is from a process that is gone.
-pub fn is_current(
+pub fn accept_sender(
     state: &mut State,
     now: Now,
     from: VmId,
@@ -55,37 +56,43 @@
         return true;
     }
     let epoch = state.members.epoch;
-    found(state, now.mono, from, incarnation, out);
-    changed(state, epoch, now, out);
+    record_contact(state, now.mono, from, incarnation, out);
+    propagate_changes(state, epoch, now, out);
     true
 }
 
 /// A peer's heartbeat.
-pub fn heard(state: &mut State, now: Now, from: VmId, beat: &Heartbeat, out: &mut Vec<Effect>) {
+pub fn on_heartbeat(
+    state: &mut State,
+    now: Now,
+    from: VmId,
+    heartbeat: &Heartbeat,
+    out: &mut Vec<Effect>,
+) {
     let epoch = state.members.epoch;
-    let rumours = spread::rumours(&state.members);
+    let rumours = gossip::rumour_rounds(&state.members);
     state.members.greeted = true;
     if let Some(member) = state.members.all.get_mut(&from) {
-        member.counter = member.counter.max(beat.counter);
-        if beat.leaving && !member.says_leaving {
+        member.counter = member.counter.max(heartbeat.counter);
+        if heartbeat.leaving && !member.says_leaving {
             member.says_leaving = true;
             member.rumours = rumours;
             state.members.changed();
         }
     }
-    for seen in &beat.seen {
-        told(state, now, seen, out);
+    for seen in &heartbeat.seen {
+        apply_record(state, now, seen, out);
     }
     let dead_after = state.local.tuning.dead_after;
-    for vm in beats::apply(&mut state.members, &beat.beats, now.mono, dead_after) {
-        came(state, vm, out);
+    for vm in summary::apply(&mut state.members, &heartbeat.beats, now.mono, dead_after) {
+        mark_live(state, vm, out);
     }
-    changed(state, epoch, now, out);
-    catalogue::shown(state, now, from, beat, out);
-    if beat.probe {
-        spread::answer(state, now, from, out);
+    propagate_changes(state, epoch, now, out);
+    catalogue::on_heartbeat(state, now, from, heartbeat, out);
+    if heartbeat.probe {
+        gossip::answer_probe(state, now, from, out);
     } else {
-        spread::show(state, from, beat, out);
+        gossip::reply_if_newer(state, from, heartbeat, out);
     }
 }
 
@@ -93,45 +100,45 @@
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + state.local.tuning.heartbeat, Timer::Heartbeat);
     let epoch = state.members.epoch;
-    bury(state, now, out);
-    changed(state, epoch, now, out);
-    judge(state, now, out);
-    spread::beat(state, now, out);
+    mark_dead(state, now, out);
+    propagate_changes(state, epoch, now, out);
+    update_may_decide(state, now, out);
+    gossip::send_heartbeats(state, now, out);
 }
 
 /// The VM list changed.
-pub fn adopted(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    claim::list_changed(state, now);
-    judge(state, now, out);
-    slots::members_changed(state, now, out);
+pub fn on_vm_list(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    claim::update_tenure(state, now);
+    update_may_decide(state, now, out);
+    slots::on_members_changed(state, now, out);
     push(state, now, out);
 }
 
 /// This daemon is shutting down: it gives its stewardships up and says so at once.
-pub fn leaving(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+pub fn announce_leaving(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     if let Some(own) = state.members.all.get_mut(&state.local.vm) {
         own.says_leaving = true;
     }
     let epoch = state.members.epoch;
     state.members.changed();
-    changed(state, epoch, now, out);
+    propagate_changes(state, epoch, now, out);
     push(state, now, out);
 }
 
 /// A peer tells what it knows of a member that it has heard of lately.
-fn told(state: &mut State, now: Now, seen: &Seen, out: &mut Vec<Effect>) {
+fn apply_record(state: &mut State, now: Now, seen: &Seen, out: &mut Vec<Effect>) {
     let vm = VmId(seen.vm);
     if vm == state.local.vm {
-        superseded(state, seen, out);
+        check_superseded(state, seen, out);
         return;
     }
-    let rumours = spread::rumours(&state.members);
+    let rumours = gossip::rumour_rounds(&state.members);
     let Some(member) = state.members.all.get(&vm) else { return };
-    let is_new = member.incarnation < seen.incarnation;
-    let is_news = seen.incarnation == member.incarnation && member.counter < seen.counter;
-    if is_new || is_news {
-        let heard = now.mono.saturating_sub(Duration::from_millis(u64::from(seen.age)));
-        found(state, heard, vm, seen.incarnation, out);
+    let is_new_incarnation = member.incarnation < seen.incarnation;
+    let is_newer = seen.incarnation == member.incarnation && member.counter < seen.counter;
+    if is_new_incarnation || is_newer {
+        let last_seen = now.mono.saturating_sub(Duration::from_millis(u64::from(seen.age)));
+        record_contact(state, last_seen, vm, seen.incarnation, out);
     }
     let Some(member) = state.members.all.get_mut(&vm) else { return };
     if member.incarnation != seen.incarnation {
@@ -146,10 +153,16 @@
 }
 
 /// There is news of a member, of an incarnation that is current.
-fn found(state: &mut State, heard: Duration, vm: VmId, incarnation: u64, out: &mut Vec<Effect>) {
-    let rumours = spread::rumours(&state.members);
+fn record_contact(
+    state: &mut State,
+    last_seen: Duration,
+    vm: VmId,
+    incarnation: u64,
+    out: &mut Vec<Effect>,
+) {
+    let rumours = gossip::rumour_rounds(&state.members);
     let Some(member) = state.members.all.get_mut(&vm) else { return };
-    member.heard = member.heard.max(Some(heard));
+    member.heard = member.heard.max(Some(last_seen));
     let former = member.incarnation;
     if former < incarnation {
         member.incarnation = incarnation;
@@ -161,51 +174,51 @@
         member.rumours = rumours;
     }
     if !member.live {
-        came(state, vm, out);
+        mark_live(state, vm, out);
     } else if former != 0 && former < incarnation {
         note(out, "member_restarted", vec![("vm", vm.to_string())]);
         state.members.changed();
     }
 }
 
-fn came(state: &mut State, vm: VmId, out: &mut Vec<Effect>) {
+fn mark_live(state: &mut State, vm: VmId, out: &mut Vec<Effect>) {
     let Some(member) = state.members.all.get_mut(&vm) else { return };
     member.live = true;
     state.members.changed();
     note(out, "member_up", vec![("vm", vm.to_string())]);
 }
 
-fn bury(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+fn mark_dead(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let own = state.local.vm;
-    let limit = state.local.tuning.dead_after;
-    let mut any = false;
+    let timeout = state.local.tuning.dead_after;
+    let mut any_dead = false;
     for (vm, member) in state.members.all.iter_mut().filter(|(vm, m)| m.live && **vm != own) {
-        let silent = member.heard.map_or(Duration::MAX, |heard| now.mono.saturating_sub(heard));
-        if silent <= limit {
+        let silence = member.heard.map_or(Duration::MAX, |heard| now.mono.saturating_sub(heard));
+        if silence <= timeout {
             continue;
         }
         member.live = false;
-        any = true;
-        let pairs = vec![("vm", vm.to_string()), ("silent_ms", silent.as_millis().to_string())];
+        any_dead = true;
+        let pairs = vec![("vm", vm.to_string()), ("silent_ms", silence.as_millis().to_string())];
         note(out, "member_dead", pairs);
     }
-    if any {
+    if any_dead {
         state.members.changed();
     }
 }
 
 /// Passes on that the live members changed, if they did.
-fn changed(state: &mut State, epoch: u64, now: Now, out: &mut Vec<Effect>) {
+fn propagate_changes(state: &mut State, epoch: u64, now: Now, out: &mut Vec<Effect>) {
     if state.members.epoch == epoch {
         return;
     }
-    slots::members_changed(state, now, out);
-    judge(state, now, out);
+    slots::on_members_changed(state, now, out);
+    update_may_decide(state, now, out);
 }
 
 /// Judges anew whether this daemon may decide.
-fn judge(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let before = state.members.may_decide();
+fn update_may_decide(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    let could_decide = state.members.may_decide();
     if let Some(from) = state.members.presence.waiting {
         let census = state.members.census(|m| m.heard.is_some_and(|heard| from <= heard));
         if !state.members.presence.listed || census.is_minority() {
@@ -214,22 +227,22 @@
         state.members.presence.waiting = None;
     }
     let census = state.members.census(|m| m.live);
-    let isolated = census.is_minority();
-    if isolated != state.members.presence.isolated {
-        state.members.presence.isolated = isolated;
+    let is_isolated = census.is_minority();
+    if is_isolated != state.members.presence.isolated {
+        state.members.presence.isolated = is_isolated;
         let pairs = vec![("live", census.heard.to_string()), ("listed", census.of.to_string())];
-        note(out, if isolated { "isolated" } else { "rejoined" }, pairs);
+        note(out, if is_isolated { "isolated" } else { "rejoined" }, pairs);
     }
-    if !before && state.members.may_decide() {
+    if !could_decide && state.members.may_decide() {
         state.members.presence.since = now.mono;
         note(out, "recovered", vec![("live", census.heard.to_string())]);
-        slots::members_changed(state, now, out);
+        slots::on_members_changed(state, now, out);
     }
 }
 
 /// Peers know a higher incarnation of this VM: another process has its name, or the VM's clock went
 /// back across a restart. Peers drop all that this daemon says; only an operator can mend it.
-fn superseded(state: &State, seen: &Seen, out: &mut Vec<Effect>) {
+fn check_superseded(state: &State, seen: &Seen, out: &mut Vec<Effect>) {
     if state.local.incarnation < seen.incarnation {
         note(out, "incarnation_superseded", vec![("incarnation", seen.incarnation.to_string())]);
     }
--- /dev/null
+++ b/crates/basilbank_core/src/reduce/member/summary.rs
@@ -0,0 +1,116 @@
+//! The short form in which heartbeats carry other members' counters.
+//!
+//! Four bytes a member: the upper 16 bits of its id, 5 bits that tell its incarnation, the low 6 bits
+//! of its counter, and 5 bits for how old the news is. A whole table of 320 members fits two
+//! datagrams, so news needs few hops. Two members of one list whose ids begin alike are left out;
+//! their full records go round instead.
+//!
+//! The age makes all daemons count a member as dead at the same time after its last heartbeat,
+//! however long that took to reach them. The counter makes news of one heartbeat count once, so that
+//! a dead member is not kept alive by packets that were on their way for long.
+
+use std::time::Duration;
+
+use crate::{
+    ids::VmId,
+    state::{Member, Members},
+};
+
+/// Bytes of one member.
+pub const ENTRY_BYTES: usize = 4;
+const COUNTER_BITS: u32 = 6;
+const AGE_BITS: u32 = 5;
+const COUNTER_MODULUS: u64 = 1 << COUNTER_BITS;
+const AGE_STEPS: u32 = 1 << AGE_BITS;
+
+/// The live members other than this daemon's own, in short form. `dead_after` is the oldest age.
+pub fn encode(members: &Members, mono: Duration, dead_after: Duration) -> Vec<u8> {
+    let mut summaries = Vec::with_capacity(members.ring().len() * ENTRY_BYTES);
+    for (vm, member) in members.all.iter().filter(|(vm, _)| **vm != members.own) {
+        if !member.live || member.incarnation == 0 || !is_prefix_unique(members, id_prefix(*vm)) {
+            continue;
+        }
+        let silence = member.heard.map_or(Duration::MAX, |heard| mono.saturating_sub(heard));
+        let Some(age) = encode_age(silence, dead_after) else { continue };
+        let counter = member.counter % COUNTER_MODULUS;
+        let low = (u64::from(incarnation_tag(member.incarnation)) << COUNTER_BITS | counter) as u16;
+        summaries.extend_from_slice(&id_prefix(*vm).to_be_bytes());
+        summaries.extend_from_slice(&(low << AGE_BITS | age).to_be_bytes());
+    }
+    summaries
+}
+
+/// Takes a peer's beats in, and gives the members that were not live before.
+pub fn apply(
+    members: &mut Members,
+    summaries: &[u8],
+    mono: Duration,
+    dead_after: Duration,
+) -> Vec<VmId> {
+    let mut newly_live = Vec::new();
+    let own = members.own;
+    for entry in summaries.chunks_exact(ENTRY_BYTES) {
+        let prefix = u16::from_be_bytes([entry[0], entry[1]]);
+        let low = u16::from_be_bytes([entry[2], entry[3]]);
+        if !is_prefix_unique(members, prefix) {
+            continue;
+        }
+        let Some((vm, member)) = members.all.range_mut(id_range(prefix)).next() else { continue };
+        if *vm == own || !advance_counter(member, low >> AGE_BITS) {
+            continue;
+        }
+        let silence = dead_after * u32::from(low % AGE_STEPS as u16) / AGE_STEPS;
+        member.heard = member.heard.max(Some(mono.saturating_sub(silence)));
+        if !member.live {
+            newly_live.push(*vm);
+        }
+    }
+    newly_live
+}
+
+/// Whether a full record must go round for a member, since its short form would be ambiguous.
+pub fn needs_full_record(members: &Members, vm: VmId) -> bool {
+    !is_prefix_unique(members, id_prefix(vm))
+}
+
+/// Takes a counter over if it is ahead. One that is far ahead, after a long separation, may look as
+/// if it were behind; the member's own heartbeats and full records set that right.
+fn advance_counter(member: &mut Member, low: u16) -> bool {
+    if member.incarnation != 0
+        && u16::from(incarnation_tag(member.incarnation)) != low >> COUNTER_BITS
+    {
+        member.mismatched = true;
+        return false;
+    }
+    let ahead = u64::from(low).wrapping_sub(member.counter) % COUNTER_MODULUS;
+    if ahead == 0 || COUNTER_MODULUS / 2 <= ahead {
+        return false;
+    }
+    member.counter += ahead;
+    true
+}
+
+fn encode_age(silence: Duration, dead_after: Duration) -> Option<u16> {
+    let fraction = silence.as_secs_f64() / dead_after.as_secs_f64().max(f64::MIN_POSITIVE);
+    let age = (fraction * f64::from(AGE_STEPS)).round();
+    (age < f64::from(AGE_STEPS)).then_some(age as u16)
+}
+
+fn id_prefix(vm: VmId) -> u16 {
+    (vm.0 >> 48) as u16
+}
+
+fn id_range(prefix: u16) -> std::ops::RangeInclusive<VmId> {
+    let first = u64::from(prefix) << 48;
+    VmId(first)..=VmId(first | (u64::MAX >> 16))
+}
+
+fn is_prefix_unique(members: &Members, prefix: u16) -> bool {
+    members.all.range(id_range(prefix)).nth(1).is_none()
+}
+
+/// Incarnations are milliseconds, so the low bits differ most.
+fn incarnation_tag(incarnation: u64) -> u8 {
+    let folded = incarnation ^ (incarnation >> 5) ^ (incarnation >> 10) ^ (incarnation >> 15);
+    (folded % 32) as u8
+}
--- a/crates/basilbank_core/src/reduce/order.rs
+++ b/crates/basilbank_core/src/reduce/order.rs
@@ -5,8 +5,8 @@
 //! endpoint no new work, lets it finish what it has, states what it should serve and reads back. An
 //! order states an end, not a step, so it may be sent twice and by two stewards.
 
+mod rollout;
 mod send;
-mod turn;
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,12 +20,12 @@
 };
 
 /// Time between two looks at what endpoints serve.
-const TICK: Duration = Duration::from_secs(1);
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 /// An endpoint must be seen empty for this long. A KV cache that was handed over lives for less, and
 /// a request that another steward let in shows in the reports by then.
-const QUIET: Duration = Duration::from_secs(2);
+const MIN_EMPTY_TIME: Duration = Duration::from_secs(2);
 /// A drain that takes longer is noted, again and again.
-const SLOW_DRAIN: Duration = Duration::from_secs(60);
+const SLOW_DRAIN_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Whether an endpoint gets no new work: an order waits until it is empty, or it has nothing loaded
 /// that work of its pool could use.
@@ -42,7 +42,7 @@
 }
 
 /// A report came from an endpoint.
-pub fn reported(
+pub fn on_report(
     state: &mut State,
     now: Now,
     endpoint: EndpointId,
@@ -71,7 +71,7 @@
             serving.silent = true;
             serving.read = now.mono;
         }
-        EngineReport::OrderFenced { fence } => send::fenced(state, endpoint, *fence, out),
+        EngineReport::OrderFenced { fence } => send::on_fenced(state, endpoint, *fence, out),
         EngineReport::OrderAccepted { .. }
         | EngineReport::Cache { .. }
         | EngineReport::Streams(_) => {}
@@ -80,29 +80,29 @@
 
 /// This daemon was paused: another may have been steward of its endpoints and may have ordered there,
 /// so the hold-off towards endpoints that ignore fencing starts again.
-pub fn awake(state: &mut State) {
+pub fn on_pause(state: &mut State) {
     state.orders.since.clear();
 }
 
 /// Looks for orders that are due.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    state.timers.set(now.mono + TICK, Timer::Orders);
-    turn::follow(state, now);
-    if is_behind(state) {
+    state.timers.set(now.mono + TICK_INTERVAL, Timer::Orders);
+    rollout::track_model_changes(state, now);
+    if is_catalogue_stale(state) {
         return;
     }
-    let mut wanted = Vec::new();
-    let ordered = stewarded(state).filter(|e| e.orders && !e.leaving);
-    let mine: BTreeMap<_, _> = ordered.map(|e| (e.id, e.clone())).collect();
-    for endpoint in mine.values() {
+    let mut to_read = Vec::new();
+    let orderable = owned_endpoints(state).filter(|e| e.orders && !e.leaving);
+    let owned: BTreeMap<_, _> = orderable.map(|e| (e.id, e.clone())).collect();
+    for endpoint in owned.values() {
         state.orders.since.entry(endpoint.id).or_insert(now.mono);
-        look(state, now, endpoint, &mut wanted, out);
+        check_endpoint(state, now, endpoint, &mut to_read, out);
     }
     let State { orders, view, .. } = state;
-    orders.since.retain(|id, _| mine.contains_key(id));
-    orders.rolls.retain(|id, _| mine.contains_key(id));
+    orders.since.retain(|id, _| owned.contains_key(id));
+    orders.rolls.retain(|id, _| owned.contains_key(id));
     orders.reports.retain(|id, _| view.endpoint(*id).is_some());
-    turn::read(state, now, wanted, out);
+    rollout::read_loads(state, now, to_read, out);
 }
 
 /// Whether a peer has shown a newer catalogue than the one in force here.
@@ -111,27 +111,27 @@
 /// peers, and that is before the catalogue that came into force meanwhile has reached it, above all
 /// when a datagram is lost. Its order would load what the operators have replaced. One would see an
 /// endpoint without fencing numbers load an old version after the new one.
-fn is_behind(state: &State) -> bool {
+fn is_catalogue_stale(state: &State) -> bool {
     state.view.catalogue.revision < state.documents.shown.catalogue.revision
 }
 
 /// The endpoints that this daemon decides on as steward; none while it may not decide.
-pub fn stewarded(state: &State) -> impl Iterator<Item = &Endpoint> {
+pub fn owned_endpoints(state: &State) -> impl Iterator<Item = &Endpoint> {
     let known = state.slots.ledgers.keys().filter(|_| state.members.may_decide());
     known.filter_map(|id| state.view.endpoint(*id))
 }
 
 /// Compares what one endpoint serves with what it should.
-fn look(
+fn check_endpoint(
     state: &mut State,
     now: Now,
     endpoint: &Endpoint,
-    wanted: &mut Vec<EndpointId>,
+    to_read: &mut Vec<EndpointId>,
     out: &mut Vec<Effect>,
 ) {
     let Some(target) = Target::new(&state.view, endpoint) else { return };
     let Some(serving) = state.orders.reports.get(&endpoint.id) else {
-        wanted.push(endpoint.id);
+        to_read.push(endpoint.id);
         return;
     };
     if serving.is_done(&target) {
@@ -141,34 +141,34 @@
         return;
     }
     let serving = serving.clone();
-    if serving.silent || !send::is_allowed(state, now, endpoint, &serving) {
+    if serving.silent || !send::may_order(state, now, endpoint, &serving) {
         return;
     }
     let rolls = &mut state.orders.rolls;
     let roll = rolls.entry(endpoint.id).or_insert_with(|| Roll::new(target.clone(), now.mono));
-    let is_other = roll.target != target;
+    let is_retargeted = roll.target != target;
     roll.target = target;
     match roll.stage {
-        RollStage::Ordered { .. } if is_other => send::order(state, now, endpoint, 0, out),
+        RollStage::Ordered { .. } if is_retargeted => send::issue(state, now, endpoint, 0, out),
         RollStage::Ordered { sent, due } if due <= now.mono => {
-            send::again(state, now, endpoint, &serving, sent, out);
+            send::reissue(state, now, endpoint, &serving, sent, out);
         }
         RollStage::Ordered { .. } => {}
-        RollStage::Waiting => start(state, now, endpoint, &serving, wanted, out),
-        RollStage::Draining { empty } => drain(state, now, endpoint, &serving, empty, wanted, out),
+        RollStage::Waiting => start_drain(state, now, endpoint, &serving, to_read, out),
+        RollStage::Draining { empty } => drain(state, now, endpoint, &serving, empty, to_read, out),
     }
 }
 
 /// Closes an endpoint whose turn has come.
-fn start(
+fn start_drain(
     state: &mut State,
     now: Now,
     endpoint: &Endpoint,
     serving: &Serving,
-    wanted: &mut Vec<EndpointId>,
+    to_read: &mut Vec<EndpointId>,
     out: &mut Vec<Effect>,
 ) {
-    if !turn::has_come(state, now, endpoint, serving, wanted) {
+    if !rollout::may_drain(state, now, endpoint, serving, to_read) {
         return;
     }
     let Some(roll) = state.orders.rolls.get_mut(&endpoint.id) else { return };
@@ -184,22 +184,22 @@
     endpoint: &Endpoint,
     serving: &Serving,
     empty: Option<Duration>,
-    wanted: &mut Vec<EndpointId>,
+    to_read: &mut Vec<EndpointId>,
     out: &mut Vec<Effect>,
 ) {
-    let has_turn = turn::has_come(state, now, endpoint, serving, wanted);
+    let may_drain = rollout::may_drain(state, now, endpoint, serving, to_read);
     let is_empty = is_empty(state, endpoint.id, serving);
     let Some(roll) = state.orders.rolls.get_mut(&endpoint.id) else { return };
-    if !has_turn {
+    if !may_drain {
         roll.enter(RollStage::Waiting, now.mono);
         return;
     }
-    let fresh = roll.since <= serving.measured;
-    let empty = (is_empty && fresh).then(|| empty.unwrap_or(serving.measured));
+    let is_fresh = roll.since <= serving.measured;
+    let empty = (is_empty && is_fresh).then(|| empty.unwrap_or(serving.measured));
     roll.stage = RollStage::Draining { empty };
-    if empty.is_some_and(|since| since + QUIET <= serving.measured) {
-        send::order(state, now, endpoint, 0, out);
-    } else if roll.since + SLOW_DRAIN <= now.mono {
+    if empty.is_some_and(|since| since + MIN_EMPTY_TIME <= serving.measured) {
+        send::issue(state, now, endpoint, 0, out);
+    } else if roll.since + SLOW_DRAIN_INTERVAL <= now.mono {
         roll.since = now.mono;
         note("order_drain_slow", endpoint.id, &roll.target.version, out);
     }
--- a/crates/basilbank_core/src/reduce/order/turn.rs
+++ b/crates/basilbank_core/src/reduce/order/rollout.rs
@@ -17,37 +17,39 @@
 };
 
 /// Endpoints read in one look, beyond those that are read anyway.
-const READS: usize = 16;
+const MAX_READS_PER_TICK: usize = 16;
 /// Reports of a model's endpoints older than this do not count.
-const FRESH: Duration = Duration::from_secs(10);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 /// How often the endpoints that are waited for are read.
-const POLL: Duration = Duration::from_secs(3);
+const POLL_INTERVAL: Duration = Duration::from_secs(3);
 /// A model whose version changed within this time may still be loading somewhere.
-const HORIZON: Duration = Duration::from_secs(1800);
+const MAX_ROLLOUT_TIME: Duration = Duration::from_secs(1800);
 
 /// What stands between an endpoint and its change.
-struct Ahead {
+struct Unavailable {
     /// Not changed, and before it in the order, or out of service for another reason.
-    out: u64,
+    slots: u64,
     /// How many those are, without the ones that do not answer.
-    rolling: usize,
+    changing: usize,
 }
 
 /// Whether an endpoint may be taken out of service now. Endpoints that must be read first are pushed
 /// to `wanted`.
-pub fn has_come(
+pub fn may_drain(
     state: &State,
     now: Now,
     endpoint: &Endpoint,
     serving: &Serving,
-    wanted: &mut Vec<EndpointId>,
+    to_read: &mut Vec<EndpointId>,
 ) -> bool {
     let EntryTarget::Model(model) = endpoint.serves else { return false };
-    let width = load_width(state, now, endpoint);
-    let waits = unchanged_before(state, model, endpoint.id, width, wanted);
-    if width <= waits.len() {
+    let max_loads = max_concurrent_loads(state, now, endpoint);
+    let unchanged = unchanged_before(state, model, endpoint.id, max_loads, to_read);
+    if max_loads <= unchanged.len() {
         // The turn is far off: only the first few decide whether it comes nearer.
-        wanted.extend(waits.into_iter().filter(|id| is_older(state, now, *id, POLL)));
+        to_read.extend(
+            unchanged.into_iter().filter(|id| is_report_older(state, now, *id, POLL_INTERVAL)),
+        );
         return false;
     }
     let Some(target) = Target::new(&state.view, endpoint) else { return false };
@@ -56,31 +58,32 @@
     }
     let ids = state.view.serving(endpoint.serves, endpoint.role);
     let pool = ids.iter().filter_map(|id| state.view.endpoint(*id));
-    let fresh = FRESH.max(Duration::from_secs(2 * (ids.len() / READS) as u64));
-    let is_old = |id: &EndpointId| is_older(state, now, *id, fresh / 2);
-    let old: Vec<_> = ids.iter().copied().filter(is_old).collect();
-    let is_known = old.iter().all(|id| !is_older(state, now, *id, fresh));
-    wanted.extend(old);
+    let max_age =
+        MAX_REPORT_AGE.max(Duration::from_secs(2 * (ids.len() / MAX_READS_PER_TICK) as u64));
+    let is_due = |id: &EndpointId| is_report_older(state, now, *id, max_age / 2);
+    let due: Vec<_> = ids.iter().copied().filter(is_due).collect();
+    let is_known = due.iter().all(|id| !is_report_older(state, now, *id, max_age));
+    to_read.extend(due);
     if !is_known {
         return false;
     }
     let total: u64 = pool.clone().map(slots).sum();
-    let ahead = ahead(state, endpoint, pool);
-    let owed = owed(state, endpoint.serves) * total as f64;
-    let left = total.saturating_sub(ahead.out + slots(endpoint));
-    ahead.rolling == 0 || owed <= left as f64
+    let unavailable = count_unavailable(state, endpoint, pool);
+    let owed = owed_fraction(state, endpoint.serves) * total as f64;
+    let remaining = total.saturating_sub(unavailable.slots + slots(endpoint));
+    unavailable.changing == 0 || owed <= remaining as f64
 }
 
 /// Reads the endpoints that were found wanting, as many as one look may.
-pub fn read(state: &State, now: Now, mut wanted: Vec<EndpointId>, out: &mut Vec<Effect>) {
-    wanted.sort_unstable_by_key(|id| (read_at(state, *id), *id));
-    wanted.dedup();
-    wanted.retain(|id| is_older(state, now, *id, Duration::from_secs(1)));
-    out.extend(wanted.into_iter().take(READS).map(read_load));
+pub fn read_loads(state: &State, now: Now, mut to_read: Vec<EndpointId>, out: &mut Vec<Effect>) {
+    to_read.sort_unstable_by_key(|id| (last_read(state, *id), *id));
+    to_read.dedup();
+    to_read.retain(|id| is_report_older(state, now, *id, Duration::from_secs(1)));
+    out.extend(to_read.into_iter().take(MAX_READS_PER_TICK).map(read_load));
 }
 
 /// Follows the catalogue's changes of versions.
-pub fn follow(state: &mut State, now: Now) {
+pub fn track_model_changes(state: &mut State, now: Now) {
     let catalogue = state.view.catalogue.clone();
     if state.orders.revision == catalogue.revision {
         return;
@@ -99,13 +102,13 @@
 
 /// Endpoints of one model that may load at once: as many as fill the weight store's rate, shared with
 /// the other models that changed lately. At least one, or nothing would ever change.
-fn load_width(state: &State, now: Now, endpoint: &Endpoint) -> usize {
+fn max_concurrent_loads(state: &State, now: Now, endpoint: &Endpoint) -> usize {
     let rate = state.view.catalogue.weight_rate;
     if rate == 0 || endpoint.link_rate == 0 {
         return usize::MAX;
     }
     let changes = state.orders.changes.values();
-    let changing = changes.filter(|c| now.mono < c.at + HORIZON).count().max(1) as u64;
+    let changing = changes.filter(|c| now.mono < c.at + MAX_ROLLOUT_TIME).count().max(1) as u64;
     usize::try_from(rate / endpoint.link_rate / changing).unwrap_or(usize::MAX).max(1)
 }
 
@@ -115,49 +118,53 @@
     state: &State,
     model: ModelId,
     own: EndpointId,
-    most: usize,
-    wanted: &mut Vec<EndpointId>,
+    max: usize,
+    to_read: &mut Vec<EndpointId>,
 ) -> Vec<EndpointId> {
     let serves = EntryTarget::Model(model);
     let all = state.view.catalogue.endpoints.iter();
     let before = all.filter(|e| e.serves == serves && e.orders && !e.leaving && e.id < own);
     let mut before: Vec<_> = before.collect();
     before.sort_unstable_by_key(|e| e.id);
-    let mut waits = Vec::new();
+    let mut unchanged = Vec::new();
     for endpoint in before {
-        if most <= waits.len() {
+        if max <= unchanged.len() {
             break;
         }
         let Some(target) = Target::new(&state.view, endpoint) else { continue };
         match state.orders.reports.get(&endpoint.id) {
             Some(serving) if serving.silent || serving.is_done(&target) => {}
-            Some(_) => waits.push(endpoint.id),
+            Some(_) => unchanged.push(endpoint.id),
             None => {
-                waits.push(endpoint.id);
-                wanted.push(endpoint.id);
+                unchanged.push(endpoint.id);
+                to_read.push(endpoint.id);
             }
         }
     }
-    waits
+    unchanged
 }
 
 /// What of an endpoint's pool is out of service, or will be before it.
-fn ahead<'a>(state: &State, own: &Endpoint, pool: impl Iterator<Item = &'a Endpoint>) -> Ahead {
-    let mut ahead = Ahead { out: 0, rolling: 0 };
+fn count_unavailable<'a>(
+    state: &State,
+    own: &Endpoint,
+    pool: impl Iterator<Item = &'a Endpoint>,
+) -> Unavailable {
+    let mut unavailable = Unavailable { slots: 0, changing: 0 };
     for endpoint in pool.filter(|e| e.id != own.id) {
         let Some(target) = Target::new(&state.view, endpoint) else { continue };
         let Some(serving) = state.orders.reports.get(&endpoint.id) else { continue };
         let is_next = endpoint.orders && endpoint.id < own.id && !serving.is_done(&target);
         if is_next || !serving.is_useful(&target) {
-            ahead.out += slots(endpoint);
-            ahead.rolling += usize::from(!serving.silent);
+            unavailable.slots += slots(endpoint);
+            unavailable.changing += usize::from(!serving.silent);
         }
     }
-    ahead
+    unavailable
 }
 
 /// Share of a target's capacity that teams are owed together.
-fn owed(state: &State, target: EntryTarget) -> f64 {
+fn owed_fraction(state: &State, target: EntryTarget) -> f64 {
     let entries = state.view.catalogue.entries.iter().filter(|e| e.target == target);
     entries.map(|e| e.limits.owed).sum::<f64>().min(1.0)
 }
@@ -166,10 +173,10 @@
     u64::from(endpoint.slots.max(1))
 }
 
-fn read_at(state: &State, endpoint: EndpointId) -> Option<Duration> {
+fn last_read(state: &State, endpoint: EndpointId) -> Option<Duration> {
     state.orders.reports.get(&endpoint).map(|s| s.read)
 }
 
-fn is_older(state: &State, now: Now, endpoint: EndpointId, age: Duration) -> bool {
-    read_at(state, endpoint).is_none_or(|read| read + age <= now.mono)
+fn is_report_older(state: &State, now: Now, endpoint: EndpointId, age: Duration) -> bool {
+    last_read(state, endpoint).is_none_or(|read| read + age <= now.mono)
 }
--- a/crates/basilbank_core/src/reduce/order/send.rs
+++ b/crates/basilbank_core/src/reduce/order/send.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{QUIET, is_empty, note};
+use super::{MIN_EMPTY_TIME, is_empty, note};
 use crate::{
     catalogue::{Endpoint, EntryTarget, Role},
     effect::{Effect, EngineCall},
@@ -12,23 +12,23 @@
 };
 
 /// An order that had no effect is sent again after this; twice as long each time.
-const RESEND: Duration = Duration::from_secs(5);
+const INITIAL_RESEND_DELAY: Duration = Duration::from_secs(5);
 /// Longest time between two orders.
-const MOST_RESEND: Duration = Duration::from_secs(300);
+const MAX_RESEND_DELAY: Duration = Duration::from_secs(300);
 /// How long a load may take on top of the transfer of its weights.
 const LOAD_MARGIN: Duration = Duration::from_secs(60);
 /// A load may take so many times as long as the transfer of its weights at the link's rate.
 const LOAD_FACTOR: f64 = 3.0;
 /// How long an order of the steward before may still be on its way, beyond the time after which that
 /// steward counts as dead.
-const IN_FLIGHT: Duration = Duration::from_secs(6);
+const MAX_ORDER_TRANSIT: Duration = Duration::from_secs(6);
 
 /// The fencing number: the catalogue's revision, then the VM list's.
 ///
 /// Both are published and only rise, so the number of whoever has seen the newer catalogue is higher,
 /// and no daemon writes anything to get one.
 #[must_use]
-pub fn fence(state: &State) -> u64 {
+pub fn fencing_number(state: &State) -> u64 {
     let part = |revision: u64| revision.min(u32::MAX.into());
     part(state.view.catalogue.revision) << 32 | part(state.documents.vms.revision)
 }
@@ -39,16 +39,16 @@
 /// catalogue or list is at work. Where it does not, an order of a former steward that was paused may
 /// still arrive and undo a newer one; a new steward lets that time pass, orders, and reads back.
 #[must_use]
-pub fn is_allowed(state: &State, now: Now, endpoint: &Endpoint, serving: &Serving) -> bool {
+pub fn may_order(state: &State, now: Now, endpoint: &Endpoint, serving: &Serving) -> bool {
     if endpoint.fencing {
-        return serving.fence <= fence(state);
+        return serving.fence <= fencing_number(state);
     }
-    let hold = state.local.tuning.dead_after + IN_FLIGHT;
-    state.orders.since.get(&endpoint.id).is_some_and(|since| *since + hold <= now.mono)
+    let hold_off = state.local.tuning.dead_after + MAX_ORDER_TRANSIT;
+    state.orders.since.get(&endpoint.id).is_some_and(|since| *since + hold_off <= now.mono)
 }
 
 /// An endpoint refused an order: it has seen a higher number.
-pub fn fenced(state: &mut State, endpoint: EndpointId, fence: u64, out: &mut Vec<Effect>) {
+pub fn on_fenced(state: &mut State, endpoint: EndpointId, fence: u64, out: &mut Vec<Effect>) {
     if let Some(serving) = state.orders.reports.get_mut(&endpoint) {
         serving.fence = serving.fence.max(fence);
     }
@@ -58,11 +58,12 @@
 }
 
 /// States what an endpoint should serve.
-pub fn order(state: &mut State, now: Now, endpoint: &Endpoint, sent: u32, out: &mut Vec<Effect>) {
-    let fence = fence(state);
-    let pause = RESEND.saturating_mul(2u32.saturating_pow(sent)).min(MOST_RESEND);
+pub fn issue(state: &mut State, now: Now, endpoint: &Endpoint, sent: u32, out: &mut Vec<Effect>) {
+    let fence = fencing_number(state);
+    let delay =
+        INITIAL_RESEND_DELAY.saturating_mul(2u32.saturating_pow(sent)).min(MAX_RESEND_DELAY);
     let Some(roll) = state.orders.rolls.get_mut(&endpoint.id) else { return };
-    let due = now.mono + pause;
+    let due = now.mono + delay;
     roll.enter(RollStage::Ordered { sent: sent + 1, due }, now.mono);
     let target = &roll.target;
     let name = if sent == 0 { "order_sent" } else { "order_sent_again" };
@@ -79,7 +80,7 @@
 
 /// An order has had no effect so far: sends it again, unless the endpoint still loads or got work in
 /// the meantime.
-pub fn again(
+pub fn reissue(
     state: &mut State,
     now: Now,
     endpoint: &Endpoint,
@@ -87,25 +88,27 @@
     sent: u32,
     out: &mut Vec<Effect>,
 ) {
-    let patience = load_time(state, endpoint).saturating_mul(2u32.saturating_pow(sent - 1));
+    let timeout = max_load_time(state, endpoint).saturating_mul(2u32.saturating_pow(sent - 1));
     let Some(roll) = state.orders.rolls.get(&endpoint.id) else { return };
     if serving.version.is_empty() {
-        if now.mono < roll.since + patience {
+        if now.mono < roll.since + timeout {
             return;
         }
         note("order_load_stuck", endpoint.id, &roll.target.version, out);
-    } else if !is_empty(state, endpoint.id, serving) || serving.measured < roll.since + QUIET {
+    } else if !is_empty(state, endpoint.id, serving)
+        || serving.measured < roll.since + MIN_EMPTY_TIME
+    {
         return;
     }
-    order(state, now, endpoint, sent, out);
+    issue(state, now, endpoint, sent, out);
 }
 
 /// How long an endpoint may take to load its model.
-fn load_time(state: &State, endpoint: &Endpoint) -> Duration {
+fn max_load_time(state: &State, endpoint: &Endpoint) -> Duration {
     let EntryTarget::Model(model) = endpoint.serves else { return LOAD_MARGIN };
     let weights = state.view.model(model).map_or(0, |m| m.weights);
     let rates = [endpoint.link_rate, state.view.catalogue.weight_rate];
     let rate = rates.into_iter().filter(|rate| *rate != 0).min();
     let transfer = rate.map_or(0.0, |rate| weights as f64 / rate as f64);
-    LOAD_MARGIN + Duration::try_from_secs_f64(LOAD_FACTOR * transfer).unwrap_or(MOST_RESEND)
+    LOAD_MARGIN + Duration::try_from_secs_f64(LOAD_FACTOR * transfer).unwrap_or(MAX_RESEND_DELAY)
 }
--- a/crates/basilbank_core/src/reduce/reap.rs
+++ b/crates/basilbank_core/src/reduce/reap.rs
@@ -19,9 +19,9 @@
 /// Time from a cancel until the endpoint is looked at: most cancels have arrived by then.
 const CHECK_DELAY: Duration = Duration::from_secs(1);
 /// How long a daemon looks after a cancel of its own. After that the endpoint's steward sees to it.
-const CHECK_LIMIT: Duration = Duration::from_secs(60);
+const MAX_CHECK_TIME: Duration = Duration::from_secs(60);
 /// A KV cache is of use for less than this; endpoints evict it by themselves in less.
-const KV_LIMIT: Duration = Duration::from_secs(2);
+const MAX_KV_CACHE_LIFE: Duration = Duration::from_secs(2);
 
 /// Why something is cancelled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -35,7 +35,7 @@
 }
 
 /// An endpoint listed what it holds.
-pub fn listed(
+pub fn on_stream_list(
     state: &mut State,
     endpoint: EndpointId,
     streams: &[StreamInfo],
@@ -43,25 +43,25 @@
 ) {
     let live: HashSet<_> = state.requests.arena.values().map(|r| r.id).collect();
     for info in streams {
-        if let Some(cause) = judge(state, endpoint, info, &live) {
+        if let Some(cause) = cancel_cause(state, endpoint, info, &live) {
             cancel(endpoint, info, cause, out);
         }
     }
-    forget_gone(state, endpoint, streams);
+    forget_confirmed(state, endpoint, streams);
 }
 
 /// Lists endpoints' streams.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let interval = state.local.tuning.reap_interval;
-    let mut listed = Vec::new();
+    let mut to_list = Vec::new();
     if state.reaper.due <= now.mono {
         state.reaper.due = now.mono + interval;
         state.timers.set(state.reaper.due, Timer::Reap);
-        let engines = order::stewarded(state).filter(|e| e.role != Role::Plain);
-        listed.extend(engines.map(|e| e.id));
+        let engines = order::owned_endpoints(state).filter(|e| e.role != Role::Plain);
+        to_list.extend(engines.map(|e| e.id));
     }
     for watch in state.reaper.watches.values_mut() {
-        watch.cancelled.retain(|c| now.mono < c.at + CHECK_LIMIT);
+        watch.cancelled.retain(|c| now.mono < c.at + MAX_CHECK_TIME);
     }
     state.reaper.watches.retain(|_, watch| !watch.cancelled.is_empty());
     for (endpoint, watch) in &mut state.reaper.watches {
@@ -71,11 +71,11 @@
         watch.asked = now.mono;
         watch.due = now.mono + interval;
         state.timers.set(watch.due, Timer::Reap);
-        listed.push(*endpoint);
+        to_list.push(*endpoint);
     }
-    listed.sort_unstable();
-    listed.dedup();
-    let calls = listed.into_iter().map(|endpoint| EngineCall::ListStreams { endpoint });
+    to_list.sort_unstable();
+    to_list.dedup();
+    let calls = to_list.into_iter().map(|endpoint| EngineCall::ListStreams { endpoint });
     out.extend(calls.map(Effect::Engine));
 }
 
@@ -84,7 +84,7 @@
 /// A cancel is one call without an answer. When it is lost, the endpoint goes on with a stream whose
 /// caller has left and whose daemon has forgotten it: a slot stays taken until the stream ends by
 /// itself, and no error is seen anywhere.
-pub fn remember(state: &mut State, now: Now, effects: &[Effect]) {
+pub fn track_cancels(state: &mut State, now: Now, effects: &[Effect]) {
     for effect in effects {
         let Effect::Engine(EngineCall::Cancel { endpoint, request, resource: held, .. }) = effect
         else {
@@ -105,7 +105,7 @@
 
 /// Forgets the cancels that had time to arrive before the list was asked for, and of which nothing
 /// is on it, by request or by name.
-fn forget_gone(state: &mut State, endpoint: EndpointId, streams: &[StreamInfo]) {
+fn forget_confirmed(state: &mut State, endpoint: EndpointId, streams: &[StreamInfo]) {
     let own = (state.local.vm, state.local.incarnation);
     let own_streams = || streams.iter().filter(|info| (info.vm, info.incarnation) == own);
     let requests: HashSet<_> = own_streams().map(|info| info.request).collect();
@@ -143,7 +143,7 @@
 }
 
 /// Why a stream or KV cache is to be cancelled; `None` when it is not.
-fn judge(
+fn cancel_cause(
     state: &State,
     endpoint: EndpointId,
     info: &StreamInfo,
@@ -164,12 +164,14 @@
         return None;
     }
     if info.is_kv_cache {
-        return (KV_LIMIT <= info.idle && is_gone(state, info)).then_some(Cause::Orphaned);
+        return (MAX_KV_CACHE_LIFE <= info.idle && is_daemon_gone(state, info))
+            .then_some(Cause::Orphaned);
     }
     if local.tuning.unread_limit <= info.idle {
         return Some(Cause::Unread);
     }
-    (local.tuning.stream_grace <= info.idle && is_gone(state, info)).then_some(Cause::Orphaned)
+    (local.tuning.stream_grace <= info.idle && is_daemon_gone(state, info))
+        .then_some(Cause::Orphaned)
 }
 
 /// Whether this daemon cancelled it and the cancel has had no effect. A request that lives may hold
@@ -180,11 +182,11 @@
 /// request of this daemon that has come to read it since keeps it.
 fn was_cancelled(state: &State, endpoint: EndpointId, info: &StreamInfo, is_live: bool) -> bool {
     let Some(watch) = state.reaper.watches.get(&endpoint) else { return false };
-    let is_meant = |c: &Cancelled| {
+    let is_match = |c: &Cancelled| {
         let is_named = c.held.as_ref() == Some(&info.stream);
         is_named || (c.request.0 == info.request && !is_live)
     };
-    watch.cancelled.iter().any(is_meant) && !is_read(state, endpoint, &info.stream)
+    watch.cancelled.iter().any(is_match) && !is_read(state, endpoint, &info.stream)
 }
 
 /// Whether a request of this daemon reads a stream.
@@ -200,7 +202,7 @@
 ///
 /// A daemon on the other side of a partition looks dead as well, though its caller reads on. Its
 /// stream is not idle then, so callers of this function look at that too.
-fn is_gone(state: &State, info: &StreamInfo) -> bool {
+fn is_daemon_gone(state: &State, info: &StreamInfo) -> bool {
     let members = &state.members;
     if !members.is_listed(info.vm) {
         return true;
--- a/crates/basilbank_core/src/reduce/reserve.rs
+++ b/crates/basilbank_core/src/reduce/reserve.rs
@@ -98,7 +98,7 @@
         begun: 0 < request.delivered,
         first: own.first,
     };
-    peer::say(state, owner, Body::Reserve(reserve), out);
+    peer::send(state, owner, Body::Reserve(reserve), out);
 }
 
 /// Gives a slot, or the wait for it, back.
@@ -124,7 +124,7 @@
         return;
     }
     let Some(owner) = state.members.steward(key.endpoint.0) else { return };
-    peer::say(state, owner, Body::Release(release), out);
+    peer::send(state, owner, Body::Release(release), out);
 }
 
 /// Withdraws all that an attempt waits for.
@@ -189,7 +189,7 @@
     let Some(own) = state.slots.own.get_mut(&key) else {
         // The request took another slot or ended: without this answer the slot would stay leased
         // until the next list of holds.
-        peer::say(state, from, Body::Release(release_message(key)), out);
+        peer::send(state, from, Body::Release(release_message(key)), out);
         return;
     };
     if own.held {
@@ -292,7 +292,7 @@
     } else {
         state.slots.known.insert(endpoint, owner);
     }
-    peer::say(state, owner, Body::Holds(holds), out);
+    peer::send(state, owner, Body::Holds(holds), out);
 }
 
 /// What this daemon holds at an endpoint.
--- a/crates/basilbank_core/src/reduce/retry.rs
+++ b/crates/basilbank_core/src/reduce/retry.rs
@@ -212,7 +212,7 @@
     let key = found.request;
     found.stream = None;
     found.enter(AttemptStage::Queue, now.mono);
-    claim::handed_on(state, key);
+    claim::forget_handed_over(state, key);
     settle::end_as_unknown(state, now, key, out);
 }
 
--- a/crates/basilbank_core/src/reduce/settle.rs
+++ b/crates/basilbank_core/src/reduce/settle.rs
@@ -142,7 +142,7 @@
     let prompt = if 0 < request.delivered && !is_resumed { request.prompt } else { 0 };
     let unused = request.taken.saturating_sub(prompt + request.delivered);
     limit::give_back(state, now, request.entry, unused);
-    claim::ended(state, request, outcome);
+    claim::on_ended(state, request, outcome);
     let streamed = match (request.first, request.last) {
         (Some(first), Some(last)) => last - first,
         _ => Duration::ZERO,
--- a/crates/basilbank_core/src/reduce/shutdown.rs
+++ b/crates/basilbank_core/src/reduce/shutdown.rs
@@ -18,7 +18,7 @@
         state.leaving = true;
         state.exit_at = now.mono + MIN_SHUTDOWN_TIME;
     }
-    member::leaving(state, now, out);
+    member::announce_leaving(state, now, out);
 }
 
 /// Exits when there is nothing left to do: no request in progress, and no voter that has still to hear
--- a/crates/basilbank_core/src/reduce/slots.rs
+++ b/crates/basilbank_core/src/reduce/slots.rs
@@ -6,8 +6,8 @@
 
 use basilbank_wire::{Body, Deny, DenyReason, Grant, Preempt, Release, Reserve};
 
-use self::takeover::{ask_holds, follow, open};
-pub use self::takeover::{awake, holds, holds_asked, members_changed};
+pub use self::takeover::{on_ask_holds, on_holds, on_members_changed, on_pause};
+use self::takeover::{open_ledger, request_holds, update_ledgers};
 use crate::{
     effect::{Effect, Progress},
     ids::{EndpointId, EntryId, RequestId, VmId},
@@ -17,34 +17,34 @@
 };
 
 /// Time between two looks at leases and waiting reservations.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A daemon asks this one, as an endpoint's steward, for a slot.
-pub fn asked(state: &mut State, now: Now, from: VmId, ask: &Reserve, out: &mut Vec<Effect>) {
+pub fn on_reserve(state: &mut State, now: Now, from: VmId, ask: &Reserve, out: &mut Vec<Effect>) {
     let endpoint = EndpointId(ask.endpoint);
     let key = SlotKey { endpoint, request: RequestId(ask.request), attempt: ask.attempt };
-    if let Some(reason) = bar(state, endpoint) {
-        return deny(state, key, from, reason, Duration::ZERO, out);
+    if let Some(reason) = denial_reason(state, endpoint) {
+        return send_denial(state, key, from, reason, Duration::ZERO, out);
     }
-    open(state, now, endpoint, out);
+    open_ledger(state, now, endpoint, out);
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     if let Some(lease) = ledger.leases.get_mut(&key) {
         lease.until = now.mono + state.local.tuning.slot_lease;
         let lent = lease.lent;
-        return grant(state, key, from, lent, out);
+        return send_grant(state, key, from, lent, out);
     }
-    let mut waiter = waiter(now, key, from, ask);
+    let mut waiter = new_waiter(now, key, from, ask);
     // This daemon reads the endpoint's cache events, so it may know more than the one that asks.
     if ask.block != 0 && state.health.prefixes.has(ask.block, endpoint) {
         waiter.tokens = waiter.tokens.min(ask.sent.saturating_sub(ask.cached));
     }
     ledger.wait(waiter, now.mono);
-    serve(state, now, endpoint, out);
-    refuse_hopeless(state, now, key, out);
+    grant_waiting(state, now, endpoint, out);
+    deny_if_too_late(state, now, key, out);
 }
 
 /// Denies a reservation that would not be served in the time it has.
-fn refuse_hopeless(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
+fn deny_if_too_late(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&key.endpoint) else { return };
     if ledger.waiting.place(key).is_some_and(|(group, _)| group == Group::Late) {
         ledger.note_late(now.mono);
@@ -54,15 +54,15 @@
         return;
     }
     if let Some(waiter) = ledger.waiting.remove(key) {
-        deny(state, key, waiter.vm, DenyReason::Full, wait, out);
+        send_denial(state, key, waiter.vm, DenyReason::Full, wait, out);
     }
 }
 
-fn waiter(now: Now, key: SlotKey, vm: VmId, ask: &Reserve) -> Waiter {
-    let ahead = i64::from(ask.slack) - i64::from(ask.lead);
-    let ahead = Duration::from_millis(ahead.max(0).unsigned_abs());
+fn new_waiter(now: Now, key: SlotKey, vm: VmId, ask: &Reserve) -> Waiter {
+    let time_left = i64::from(ask.slack) - i64::from(ask.lead);
+    let time_left = Duration::from_millis(time_left.max(0).unsigned_abs());
     // A request whose target has passed is due since the start of time: it is late.
-    let due = if ahead.is_zero() { Duration::ZERO } else { now.mono + ahead };
+    let due = if time_left.is_zero() { Duration::ZERO } else { now.mono + time_left };
     Waiter {
         key,
         vm,
@@ -78,7 +78,7 @@
 }
 
 /// Why this daemon may grant nothing at an endpoint.
-fn bar(state: &State, endpoint: EndpointId) -> Option<DenyReason> {
+fn denial_reason(state: &State, endpoint: EndpointId) -> Option<DenyReason> {
     if state.members.steward(endpoint.0) != Some(state.local.vm) {
         return Some(DenyReason::NotSteward);
     }
@@ -95,8 +95,8 @@
 
 /// Grants slots to those that wait, as far as there are any. Nothing is granted at an endpoint that
 /// has just been found to be leaving; the next tick denies those that wait.
-pub fn serve(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
-    if bar(state, endpoint).is_some() {
+pub fn grant_waiting(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
+    if denial_reason(state, endpoint).is_some() {
         return;
     }
     loop {
@@ -118,7 +118,7 @@
             ledger.late_served = now.mono;
         }
         ledger.lease(waiter.key, lease);
-        grant(state, waiter.key, waiter.vm, choice.lent, out);
+        send_grant(state, waiter.key, waiter.vm, choice.lent, out);
     }
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     let at = ledger.ready_at();
@@ -128,7 +128,7 @@
     }
 }
 
-fn grant(state: &mut State, key: SlotKey, to: VmId, lent: bool, out: &mut Vec<Effect>) {
+fn send_grant(state: &mut State, key: SlotKey, to: VmId, lent: bool, out: &mut Vec<Effect>) {
     let free = state.slots.ledgers.get(&key.endpoint).map_or(0, Ledger::free);
     let lease = u32::try_from(state.local.tuning.slot_lease.as_millis()).unwrap_or(u32::MAX);
     let grant = Grant {
@@ -139,10 +139,10 @@
         free,
         lent,
     };
-    peer::say(state, to, Body::Grant(grant), out);
+    peer::send(state, to, Body::Grant(grant), out);
 }
 
-fn deny(
+fn send_denial(
     state: &mut State,
     key: SlotKey,
     to: VmId,
@@ -157,94 +157,100 @@
         reason: reason.into(),
         retry: u32::try_from(retry.as_millis()).unwrap_or(u32::MAX),
     };
-    peer::say(state, to, Body::Deny(deny), out);
+    peer::send(state, to, Body::Deny(deny), out);
 }
 
 /// Denies those that will not be served in the time they have, at once: they may find a slot
 /// elsewhere, and their callers learn it now and not at the end of the wait.
-fn drop_hopeless(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
+fn deny_too_late(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-    let (hopeless, wait) = queue::remove_infeasible(ledger, &state.view, now);
-    for waiter in hopeless {
-        deny(state, waiter.key, waiter.vm, DenyReason::Full, wait, out);
+    let (too_late, wait) = queue::remove_infeasible(ledger, &state.view, now);
+    for waiter in too_late {
+        send_denial(state, waiter.key, waiter.vm, DenyReason::Full, wait, out);
     }
 }
 
 /// Takes lent slots back for entries that are owed them and would miss their targets else.
-fn preempt(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
+fn preempt_lent(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     for (key, vm) in queue::select_preemptions(ledger, &state.view, now) {
         let (endpoint, request, attempt) = (key.endpoint.0, key.request.0, key.attempt);
         let preempt = Preempt { endpoint, request, attempt };
-        peer::say(state, vm, Body::Preempt(preempt), out);
+        peer::send(state, vm, Body::Preempt(preempt), out);
     }
 }
 
 /// A holder gave a slot, or the wait for it, back.
-pub fn released(state: &mut State, now: Now, from: VmId, release: &Release, out: &mut Vec<Effect>) {
+pub fn on_release(
+    state: &mut State,
+    now: Now,
+    from: VmId,
+    release: &Release,
+    out: &mut Vec<Effect>,
+) {
     let endpoint = EndpointId(release.endpoint);
     if release.stalled != 0 {
         health::on_transfer_stalled(state, now, endpoint, from, EndpointId(release.stalled), out);
     }
     let key = SlotKey { endpoint, request: RequestId(release.request), attempt: release.attempt };
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-    let waited = !ledger.waiting.is_empty();
-    let withdrawn = ledger.waiting.remove(key).is_some();
-    let ended = !withdrawn && ledger.end(key, now.mono).is_some();
-    if ended && release.full {
+    let had_waiters = !ledger.waiting.is_empty();
+    let is_withdrawn = ledger.waiting.remove(key).is_some();
+    let is_ended = !is_withdrawn && ledger.end(key, now.mono).is_some();
+    if is_ended && release.full {
         ledger.note_full();
-    } else if ended {
+    } else if is_ended {
         ledger.note_served();
     }
-    let moved = withdrawn || ended;
-    if moved {
-        if waited {
+    let is_freed = is_withdrawn || is_ended;
+    if is_freed {
+        if had_waiters {
             ledger.note_move(now.mono);
         }
-        serve(state, now, endpoint, out);
+        grant_waiting(state, now, endpoint, out);
     }
 }
 
 /// Expires leases and reservations, grants what waits, and does the holder's part.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    state.timers.set(now.mono + TICK, Timer::Slots);
+    state.timers.set(now.mono + TICK_INTERVAL, Timer::Slots);
     if state.slots.revision != state.view.catalogue.revision {
-        follow(state, now, out);
+        update_ledgers(state, now, out);
     }
     let endpoints: Vec<_> = state.slots.ledgers.keys().copied().collect();
     for endpoint in endpoints {
         expire(state, now, endpoint, out);
-        serve(state, now, endpoint, out);
-        drop_hopeless(state, now, endpoint, out);
-        preempt(state, now, endpoint, out);
+        grant_waiting(state, now, endpoint, out);
+        deny_too_late(state, now, endpoint, out);
+        preempt_lent(state, now, endpoint, out);
     }
     reserve::tick(state, now, out);
 }
 
 fn expire(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
-    let barred = bar(state, endpoint);
+    let denial = denial_reason(state, endpoint);
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     if ledger.learning.as_ref().is_some_and(|l| l.until <= now.mono) {
         ledger.learning = None;
     }
     if let Some(learning) = &ledger.learning {
         // A question or its answer was lost, or is on its way: asking again harms nobody.
-        ask_holds(endpoint, &learning.missing, out);
+        request_holds(endpoint, &learning.missing, out);
     }
-    let over = ledger.leases.iter().filter(|(_, lease)| lease.until <= now.mono);
-    let over: Vec<_> = over.map(|(key, _)| *key).collect();
-    for key in &over {
+    let expired = ledger.leases.iter().filter(|(_, lease)| lease.until <= now.mono);
+    let expired: Vec<_> = expired.map(|(key, _)| *key).collect();
+    for key in &expired {
         ledger.end(*key, now.mono);
     }
-    if !over.is_empty() {
-        let pairs = vec![("endpoint", endpoint.to_string()), ("leases", over.len().to_string())];
+    if !expired.is_empty() {
+        let pairs = vec![("endpoint", endpoint.to_string()), ("leases", expired.len().to_string())];
         out.push(Effect::Progress(Progress::Note { name: "slot_leases_expired", fields: pairs }));
     }
-    let is_over = |w: &Waiter| barred.is_some() || w.until <= now.mono;
-    let ended = ledger.waiting.take(|_, waiter, _, _| is_over(waiter));
+    let is_ended = |w: &Waiter| denial.is_some() || w.until <= now.mono;
+    let ended = ledger.waiting.take(|_, waiter, _, _| is_ended(waiter));
     let retry = ledger.behind(now.mono);
-    let reason = barred.unwrap_or(DenyReason::Full);
+    let reason = denial.unwrap_or(DenyReason::Full);
     for waiter in ended {
-        deny(state, waiter.key, waiter.vm, reason, retry, out);
+        send_denial(state, waiter.key, waiter.vm, reason, retry, out);
     }
 }
--- a/crates/basilbank_core/src/reduce/slots/takeover.rs
+++ b/crates/basilbank_core/src/reduce/slots/takeover.rs
@@ -4,7 +4,7 @@
 
 use basilbank_wire::{AskHolds, Body, DenyReason, Holds};
 
-use super::{bar, deny, serve};
+use super::{denial_reason, grant_waiting, send_denial};
 use crate::{
     catalogue::{Endpoint, Role},
     effect::{Effect, EngineCall, Progress},
@@ -15,9 +15,9 @@
 };
 
 /// A lease this young may be missing from its holder's list, which was made before the grant came.
-const GRACE: Duration = Duration::from_millis(500);
+const GRANT_GRACE: Duration = Duration::from_millis(500);
 /// How long a new steward waits for peers' lists.
-const LEARN: Duration = Duration::from_secs(2);
+const REBUILD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Opens an endpoint's ledger when this daemon has become its steward.
 ///
@@ -26,9 +26,14 @@
 /// prefills. So it asks all peers first. Nor does it know whether the endpoint is leaving: its
 /// predecessor alone read that, and work granted before the first report would reach an endpoint
 /// that was marked long ago. So it reads the endpoint's load too.
-pub(super) fn open(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
+pub(super) fn open_ledger(
+    state: &mut State,
+    now: Now,
+    endpoint: EndpointId,
+    out: &mut Vec<Effect>,
+) {
     let Some(known) = state.view.endpoint(endpoint) else { return };
-    let extra = extra(known);
+    let extra = extra_slots(known);
     let slots = if known.slots == 0 { u32::MAX } else { known.slots + extra };
     let link_rate = estimate::link_tokens_per_second(state, known);
     if let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) {
@@ -42,20 +47,20 @@
     let rate = known.prefill_rate;
     let resumable = known.role == Role::Decode;
     let mut ledger = Ledger { slots, extra, resumable, rate, link_rate, ..Ledger::default() };
-    ask_holds(endpoint, &missing, out);
+    request_holds(endpoint, &missing, out);
     // A plain service tells no load, and refuses provably what is too much for it. Learning there
     // would refuse lookups for as long as it takes, to spare a few of them a second call.
     if known.role != Role::Plain {
         out.push(Effect::Engine(EngineCall::ReadLoad { endpoint }));
-        let until = now.mono + LEARN;
+        let until = now.mono + REBUILD_TIMEOUT;
         ledger.learning = Some(Learning { missing, unread: true, until });
     }
     state.slots.ledgers.insert(endpoint, ledger);
     let held = reserve::holds_at(state, endpoint);
-    adopt(state, now, own, &held, out);
+    adopt_leases(state, now, own, &held, out);
 }
 
-pub(super) fn ask_holds(endpoint: EndpointId, peers: &BTreeSet<VmId>, out: &mut Vec<Effect>) {
+pub(super) fn request_holds(endpoint: EndpointId, peers: &BTreeSet<VmId>, out: &mut Vec<Effect>) {
     for vm in peers {
         let ask = AskHolds { endpoint: endpoint.0 };
         out.push(Effect::Send { to: *vm, message: Body::AskHolds(ask).into() });
@@ -67,7 +72,7 @@
 /// Between a plain call's end and the next one's start lie three messages. A call takes hardly longer
 /// than these, so a service whose slots were leased just once would often be idle. Half as many more
 /// wait at the service's own door. One that has no place there refuses them provably, and gets fewer.
-fn extra(endpoint: &Endpoint) -> u32 {
+fn extra_slots(endpoint: &Endpoint) -> u32 {
     match endpoint.role {
         Role::Plain => endpoint.slots.div_ceil(2),
         Role::Prefill | Role::Decode => 0,
@@ -75,38 +80,38 @@
 }
 
 /// A new steward asks what this daemon holds.
-pub fn holds_asked(state: &mut State, from: VmId, ask: &AskHolds, out: &mut Vec<Effect>) {
+pub fn on_ask_holds(state: &mut State, from: VmId, ask: &AskHolds, out: &mut Vec<Effect>) {
     let holds = reserve::holds_at(state, EndpointId(ask.endpoint));
-    peer::say(state, from, Body::Holds(holds), out);
+    peer::send(state, from, Body::Holds(holds), out);
 }
 
 /// A holder tells what it holds: its leases are renewed, and those it does not list are over.
-pub fn holds(state: &mut State, now: Now, from: VmId, holds: &Holds, out: &mut Vec<Effect>) {
+pub fn on_holds(state: &mut State, now: Now, from: VmId, holds: &Holds, out: &mut Vec<Effect>) {
     let endpoint = EndpointId(holds.endpoint);
-    if bar(state, endpoint) == Some(DenyReason::NotSteward) {
+    if denial_reason(state, endpoint) == Some(DenyReason::NotSteward) {
         return;
     }
-    open(state, now, endpoint, out);
-    adopt(state, now, from, holds, out);
+    open_ledger(state, now, endpoint, out);
+    adopt_leases(state, now, from, holds, out);
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     let listed: BTreeSet<_> = holds.holds.iter().map(|h| (h.request, h.attempt)).collect();
-    let is_over = |key: &SlotKey, lease: &Lease| {
+    let is_ended = |key: &SlotKey, lease: &Lease| {
         let is_listed = listed.contains(&(key.request.0, key.attempt));
-        lease.vm == from && !is_listed && lease.since + GRACE < now.mono
+        lease.vm == from && !is_listed && lease.since + GRANT_GRACE < now.mono
     };
-    let leases = ledger.leases.iter().filter(|(key, lease)| is_over(key, lease));
-    let over: Vec<_> = leases.map(|(key, _)| *key).collect();
-    for key in over {
+    let leases = ledger.leases.iter().filter(|(key, lease)| is_ended(key, lease));
+    let ended: Vec<_> = leases.map(|(key, _)| *key).collect();
+    for key in ended {
         ledger.end(key, now.mono);
     }
     if let Some(learning) = &mut ledger.learning {
         learning.missing.remove(&from);
     }
     ledger.learned();
-    serve(state, now, endpoint, out);
+    grant_waiting(state, now, endpoint, out);
 }
 
-fn adopt(state: &mut State, now: Now, from: VmId, holds: &Holds, out: &mut Vec<Effect>) {
+fn adopt_leases(state: &mut State, now: Now, from: VmId, holds: &Holds, out: &mut Vec<Effect>) {
     let endpoint = EndpointId(holds.endpoint);
     let until = now.mono + state.local.tuning.slot_lease;
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
@@ -132,9 +137,9 @@
         };
         ledger.lease(key, lease);
     }
-    let over = ledger.leases.len().saturating_sub(ledger.slots as usize);
-    if before < ledger.leases.len() && 0 < over {
-        let pairs = vec![("endpoint", endpoint.to_string()), ("over", over.to_string())];
+    let excess = ledger.leases.len().saturating_sub(ledger.slots as usize);
+    if before < ledger.leases.len() && 0 < excess {
+        let pairs = vec![("endpoint", endpoint.to_string()), ("over", excess.to_string())];
         out.push(Effect::Progress(Progress::Note { name: "slot_over_commit", fields: pairs }));
     }
 }
@@ -145,33 +150,33 @@
 /// free. Granting from them would over-commit endpoints until the holders' next lists come, seen as
 /// refusals after whole prefills; so the ledgers are opened anew, and ask. Those that waited here ask
 /// again when they hear nothing.
-pub fn awake(state: &mut State) {
+pub fn on_pause(state: &mut State) {
     state.slots.ledgers.clear();
     state.slots.revision = 0;
 }
 
 /// The live members changed, so stewardships may have moved.
-pub fn members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    follow(state, now, out);
+pub fn on_members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    update_ledgers(state, now, out);
     reserve::on_members_changed(state, now, out);
 }
 
 /// Opens ledgers of endpoints that this daemon has become the steward of, and closes others.
-pub(super) fn follow(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+pub(super) fn update_ledgers(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.slots.revision = state.view.catalogue.revision;
     let own = state.local.vm;
     let catalogue = state.view.catalogue.clone();
-    let mine = catalogue.endpoints.iter().map(|e| e.id);
-    let mine: BTreeSet<_> = mine.filter(|e| state.members.steward(e.0) == Some(own)).collect();
+    let owned = catalogue.endpoints.iter().map(|e| e.id);
+    let owned: BTreeSet<_> = owned.filter(|e| state.members.steward(e.0) == Some(own)).collect();
     let closed: Vec<_> =
-        state.slots.ledgers.keys().filter(|e| !mine.contains(e)).copied().collect();
+        state.slots.ledgers.keys().filter(|e| !owned.contains(e)).copied().collect();
     for endpoint in closed {
         let Some(mut ledger) = state.slots.ledgers.remove(&endpoint) else { continue };
         for waiter in ledger.waiting.take(|_, _, _, _| true) {
-            deny(state, waiter.key, waiter.vm, DenyReason::NotSteward, Duration::ZERO, out);
+            send_denial(state, waiter.key, waiter.vm, DenyReason::NotSteward, Duration::ZERO, out);
         }
     }
-    for endpoint in mine {
-        open(state, now, endpoint, out);
+    for endpoint in owned {
+        open_ledger(state, now, endpoint, out);
     }
 }
