--- a/crates/basilbank_core/src/effect.rs
+++ b/crates/basilbank_core/src/effect.rs
@@ -1,4 +1,4 @@
-//! All that the core asks of the shell.
+//! Outputs of the reducer: everything that it asks the shell to do.
 
 use std::time::Duration;
 
@@ -9,225 +9,225 @@
     reason::{Outcome, Refusal, Retry, Waste},
 };
 
-/// One effect.
+/// An output of the reducer, for the shell to carry out.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Effect {
-    /// Say something to a caller.
+    /// Send an answer to a caller.
     Answer {
-        /// The caller.
+        /// Caller to answer.
         caller: CallerId,
-        /// What to say.
+        /// The answer.
         answer: Answer,
     },
     /// Call an endpoint.
     Engine(EngineCall),
-    /// Say something to a peer. Large messages go over TCP.
+    /// Send a message to a peer. The shell sends large messages over TCP.
     Send {
-        /// The peer.
+        /// VM of the peer.
         to: VmId,
-        /// What to say.
+        /// The message.
         message: Message,
     },
-    /// Watch the catalogue on the platform; answers when it changes or after a while.
+    /// Watch the catalogue on the platform. The platform answers when it changes, or after a while.
     WatchCatalogue {
-        /// The revision that the daemon has; 0 for none, which reads the whole.
+        /// Revision that the daemon has; 0 if it has none, which reads the complete catalogue.
         after: u64,
     },
     /// Read the VM list from the platform.
     ReadVms,
-    /// Check a catalogue's texts and compile them.
+    /// Check the documents of a catalogue revision and compile them.
     CheckCatalogue {
-        /// The revision.
+        /// Revision to check.
         revision: u64,
-        /// All its documents.
+        /// All documents of that revision.
         documents: Vec<Document>,
     },
-    /// Something to count, to log, or both.
+    /// Record a step in the log, in the metrics, or in both.
     Progress(Progress),
-    /// The daemon is done: exit.
+    /// Exit the process: nothing is left to do.
     Exit,
 }
 
-/// What a caller is told.
+/// An answer, or a part of one, to a caller.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Answer {
-    /// The call was accepted under this id. Nothing is sent yet.
+    /// The call was accepted. Nothing is sent to the caller yet.
     Accepted {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The entry it is charged to.
+        /// Catalogue entry that the request is charged to.
         entry: EntryId,
     },
-    /// Where the stream lives now, for the cursors of the tokens that follow.
+    /// Location of the stream, needed to issue cursors for the tokens that follow.
     Located {
-        /// The endpoint.
+        /// Endpoint that holds the stream.
         endpoint: EndpointId,
-        /// The stream's name there.
+        /// Name of the stream at that endpoint.
         stream: String,
-        /// The caller's token 0 is this token of the stream, so a cursor's offset can be worked out;
-        /// negative when the stream continues another one.
+        /// Offset in the stream of the caller's token 0, from which the offsets of cursors are
+        /// computed. It is negative if the stream continues another one.
         base_offset: i64,
     },
-    /// Tokens, in order and once each.
+    /// Generated tokens. Each token is sent once, and all are sent in order.
     Tokens {
-        /// Offset of the first one in the caller's answer.
+        /// Offset of the first of these tokens in the caller's answer.
         offset: u32,
-        /// Their texts.
+        /// Text of each token.
         texts: Vec<String>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// `stop` or `length`.
+        /// Why generation ended: `stop` or `length`.
         reason: String,
-        /// Prompt tokens.
+        /// Number of prompt tokens.
         prompt_tokens: u32,
-        /// Prompt tokens that came from the prefix cache.
+        /// Number of prompt tokens that came from the prefix cache.
         cached_tokens: u32,
-        /// Generated tokens.
+        /// Number of generated tokens.
         generated_tokens: u32,
     },
-    /// The plain answer that the shell holds for this attempt.
+    /// The answer of a plain service, which the shell holds for this attempt.
     Plain {
-        /// The attempt.
+        /// Attempt that received the answer.
         attempt: AttemptKey,
     },
-    /// Refused: nothing was run.
+    /// The call was refused; nothing of it was run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
-        /// When another try may succeed.
+        /// Time after which another call may succeed.
         retry_after: Option<Duration>,
     },
-    /// It may have run; it can't be finished.
+    /// The call may have run, but it can't be completed.
     Unknown,
 }
 
-/// A call to an endpoint. Calls that name an attempt end in exactly one `Failed`, or in the events
-/// of their success.
+/// A call to an endpoint. A call that names an attempt ends either in exactly one `Failed` event or
+/// in the events of its success.
 #[derive(Clone, PartialEq, Debug)]
 pub enum EngineCall {
     /// Run a prefill.
     Prefill(CompletionCall),
-    /// Import a KV cache and stream tokens.
+    /// Import a KV cache and stream the generated tokens.
     Decode {
-        /// What to decode.
+        /// The completion to decode.
         call: CompletionCall,
-        /// The prefill endpoint that holds the KV cache.
+        /// Prefill endpoint that holds the KV cache.
         source: EndpointId,
-        /// The KV cache's name there.
+        /// Handle of the KV cache at that endpoint.
         handle: String,
     },
-    /// Read on from a stream that exists, taking it over.
+    /// Take an existing stream over and read it.
     Resume {
-        /// The attempt.
+        /// Attempt that reads the stream.
         attempt: AttemptKey,
-        /// The caller.
+        /// Caller that receives the tokens.
         caller: CallerId,
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The endpoint.
+        /// Endpoint that holds the stream.
         endpoint: EndpointId,
-        /// The stream.
+        /// Name of the stream at that endpoint.
         stream: String,
-        /// The first token wanted.
+        /// Offset of the first token to read.
         offset: u32,
     },
     /// Call a plain service.
     Plain {
-        /// The attempt.
+        /// Attempt that makes the call.
         attempt: AttemptKey,
-        /// The caller, whose call the shell holds.
+        /// Caller whose method, headers and body the shell holds.
         caller: CallerId,
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The endpoint.
+        /// Endpoint to call.
         endpoint: EndpointId,
-        /// Give up after this.
+        /// Time limit of the call.
         timeout: Duration,
     },
-    /// Forget an attempt: stop its calls, and cancel whatever it holds at the endpoint.
+    /// Stop the calls of an attempt and cancel what it holds at the endpoint.
     Cancel {
-        /// The attempt; its key is dead.
+        /// The attempt. Its key is no longer valid in the reducer.
         attempt: AttemptKey,
-        /// The endpoint.
+        /// Endpoint where the attempt may hold resources.
         endpoint: EndpointId,
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The KV cache or stream to cancel, if it is known.
+        /// KV cache handle or stream name to cancel, if known.
         resource: Option<String>,
     },
-    /// Cancel a stream or KV cache that a dead daemon left.
+    /// Cancel a stream or KV cache whose daemon is gone.
     Reap {
-        /// The endpoint.
+        /// Endpoint that holds it.
         endpoint: EndpointId,
-        /// Its name.
+        /// Stream name or KV cache handle.
         stream: String,
-        /// Only if it still belongs to this VM.
+        /// VM that must still own it; otherwise the endpoint does nothing.
         vm: VmId,
-        /// And to this incarnation.
+        /// Incarnation that must still own it; otherwise the endpoint does nothing.
         incarnation: u64,
     },
-    /// Read the endpoint's load and cache events.
+    /// Read the load and the prefix cache events of an endpoint.
     ReadLoad {
-        /// The endpoint.
+        /// Endpoint to read from.
         endpoint: EndpointId,
     },
-    /// List the endpoint's streams and KV caches.
+    /// List the streams and KV caches of an endpoint.
     ListStreams {
-        /// The endpoint.
+        /// Endpoint to read from.
         endpoint: EndpointId,
     },
-    /// State what the endpoint shall serve.
+    /// Tell an endpoint what to serve.
     Order {
-        /// The endpoint.
+        /// Endpoint that receives the order.
         endpoint: EndpointId,
-        /// The fencing number.
+        /// Fencing number of the order.
         fence: u64,
-        /// The model's name.
+        /// Name of the model.
         model: String,
-        /// The version.
+        /// Version of the model.
         version: String,
-        /// The adapter; empty for none.
+        /// Adapter to load; empty for none.
         adapter: String,
-        /// The role: `prefill` or `decode`.
+        /// Role to take: `prefill` or `decode`.
         role: &'static str,
     },
 }
 
-/// What a prefill or decode endpoint needs to know of a draft. The shell adds the prompt's text and
-/// the texts already delivered.
+/// What a prefill or decode endpoint needs to know about a completion. The shell adds the text of
+/// the prompt and the text that was already delivered.
 #[derive(Clone, PartialEq, Debug)]
 pub struct CompletionCall {
-    /// The attempt.
+    /// Attempt that makes the call.
     pub attempt: AttemptKey,
-    /// The caller, whose prompt the shell holds.
+    /// Caller whose prompt the shell holds.
     pub caller: CallerId,
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt's number within its request, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt_number: u32,
-    /// The endpoint.
+    /// Endpoint to call.
     pub endpoint: EndpointId,
-    /// Tokens that the caller already has: they are part of the prompt now.
+    /// Number of tokens that the caller already has. They are part of the prompt now.
     pub delivered: u32,
-    /// Most tokens still to generate.
+    /// Maximum number of tokens still to generate.
     pub remaining: u32,
-    /// Higher goes first.
+    /// Priority; the endpoint serves higher values first.
     pub priority: u8,
-    /// Give up after this.
+    /// Time limit of the call.
     pub timeout: Duration,
 }
 
-/// Something to count and log. The shell writes one line for each and moves its counters.
+/// A step to count and log. The shell writes one log line for each and updates its counters.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Progress {
     /// A request was accepted.
     Accepted {
         /// The request.
         request: RequestId,
-        /// The team.
+        /// Team that made the call.
         team: TeamId,
-        /// The entry.
+        /// Catalogue entry that the request is charged to.
         entry: EntryId,
     },
     /// A request waits for capacity.
@@ -235,79 +235,81 @@
         /// The request.
         request: RequestId,
     },
-    /// A slot was had.
+    /// A slot was granted.
     Placed {
         /// The request.
         request: RequestId,
-        /// The endpoint.
+        /// Endpoint that the slot belongs to.
         endpoint: EndpointId,
-        /// What for: `prefill`, `decode`, `plain`.
+        /// Use of the slot: `prefill`, `decode` or `plain`.
         role: &'static str,
-        /// How long it waited.
+        /// Time from the start of the attempt's stage to the grant.
         waited: Duration,
     },
-    /// A call was refused. `request` is `None` when it was never accepted.
+    /// A call was refused.
     Refused {
-        /// The request.
+        /// Id of the request; `None` if the call was never accepted.
         request: Option<RequestId>,
-        /// The team, when known.
+        /// Team that made the call, if known.
         team: Option<TeamId>,
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// An attempt is followed by another.
+    /// Another attempt follows a failed one.
     Retried {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason for the retry.
         retry: Retry,
-        /// When.
+        /// Delay before the next attempt.
         backoff: Duration,
     },
-    /// The first token went out.
+    /// The first token was sent to the caller.
     FirstToken {
         /// The request.
         request: RequestId,
-        /// The entry.
+        /// Catalogue entry of the request.
         entry: EntryId,
-        /// Since it was accepted.
+        /// Time to first token, from the acceptance of the request.
         ttft: Duration,
     },
-    /// Prefill work that no caller received.
+    /// Work was done that no caller is charged for: a prefill whose result was not used, or tokens
+    /// that the caller already had.
     Wasted {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Why the work was wasted.
         waste: Waste,
-        /// Prefill time.
+        /// Prefill time that was wasted.
         prefill: Duration,
-        /// Generated tokens.
+        /// Number of generated tokens that were wasted.
         tokens: u32,
     },
     /// A request ended.
     Settled {
         /// The request.
         request: RequestId,
-        /// The team.
+        /// Team that made the call.
         team: TeamId,
-        /// The entry.
+        /// Catalogue entry that the request is charged to.
         entry: EntryId,
-        /// How.
+        /// Outcome of the request.
         outcome: Outcome,
-        /// Since it was accepted.
+        /// Time from the acceptance of the request to its end.
         duration: Duration,
-        /// Prompt tokens charged.
+        /// Number of prompt tokens charged.
         prompt_tokens: u32,
-        /// Generated tokens charged.
+        /// Number of generated tokens charged.
         generated_tokens: u32,
-        /// Mean time between tokens.
+        /// Mean time between two tokens.
         tbt: Duration,
     },
-    /// Anything else worth a line and a counter: membership, catalogue, stewards, orders.
+    /// Any other occurrence worth a log line and a counter, such as changes of membership,
+    /// catalogue, owners or orders.
     Note {
-        /// A stable name, for example `member_suspect`.
+        /// Stable name, for example `member_suspect`.
         name: &'static str,
-        /// Key=value pairs.
+        /// Keys and values of the log line.
         fields: Vec<(&'static str, String)>,
     },
 }
--- a/crates/basilbank_core/src/event.rs
+++ b/crates/basilbank_core/src/event.rs
@@ -1,4 +1,4 @@
-//! All that can happen to a daemon.
+//! Inputs of the reducer: everything that can happen to a daemon.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,162 +9,168 @@
     ids::{AttemptKey, CallerId, EndpointId, VmId},
 };
 
-/// One event.
+/// An input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time went on. The shell sends it when `State::wake_at` is reached, and at least every 100 ms.
+    /// The clock has advanced. The shell sends this event when `State::wake_at` is reached, and at
+    /// least every 100 ms.
     Tick,
-    /// From a caller.
+    /// Event from a caller.
     Caller(CallerEvent),
-    /// From an endpoint.
+    /// Event from an endpoint.
     Engine(EngineEvent),
-    /// From a peer; already authenticated, in sequence, and from the incarnation given.
+    /// Message from a peer. The shell has authenticated it, checked its sequence number and
+    /// attributed it to the given incarnation.
     Peer {
-        /// The sender.
+        /// VM of the sender.
         from: VmId,
-        /// The sender's incarnation.
+        /// Incarnation of the sender.
         incarnation: u64,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// From the platform.
+    /// Event from the platform.
     Platform(PlatformEvent),
-    /// SIGTERM: finish what is in progress, then exit.
+    /// SIGTERM was received: the daemon finishes the requests in progress, then exits.
     Shutdown,
 }
 
-/// From a caller.
+/// Event from a caller.
 #[derive(Clone, Debug)]
 pub enum CallerEvent {
-    /// A call came in.
+    /// A call was received.
     Arrived(Box<Call>),
-    /// The caller left, or its connection broke.
+    /// The caller disconnected.
     Left(CallerId),
 }
 
-/// One call.
+/// A call as the shell has parsed it.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The shell's number for it.
+    /// Number that the shell assigned to the caller.
     pub caller: CallerId,
-    /// SHA-256 of the bearer key that was presented.
+    /// SHA-256 of the bearer key that the caller presented.
     pub key: KeyHash,
-    /// The idempotency key, if the caller sent one.
+    /// Idempotency key, if the caller sent one.
     pub idempotency: Option<String>,
-    /// The caller says that this may be repeated (`Some(true)`) or not (`Some(false)`).
+    /// Whether the caller allows the call to be run more than once; `None` if it does not say.
     pub repeatable: Option<bool>,
-    /// What is asked for.
+    /// What the caller asks for.
     pub kind: CallKind,
 }
 
-/// What a call asks for.
+/// Kind of a call, with the data that decisions need.
 #[derive(Clone, Debug)]
 pub enum CallKind {
-    /// Text by a model.
+    /// A call that generates text with a model.
     Completion(Completion),
-    /// A call to a plain service.
+    /// A call to a plain HTTP service.
     Plain(PlainCall),
 }
 
-/// A draft. The shell keeps the prompt's text; decisions need its size and its prefix only.
+/// A call that generates text. The shell keeps the prompt's text; decisions need only its size and
+/// its prefix.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// The entry's name.
+    /// Name of the catalogue entry.
     pub model: String,
-    /// Estimated prompt tokens.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Rolling hashes of the prompt's blocks, for the prefix cache.
+    /// Rolling hashes of the prompt's blocks, to look the prompt up in prefix caches.
     pub block_hashes: Arc<[u64]>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Where the stream goes on, from a cursor that the shell has authenticated.
+    /// Position at which to resume an existing stream, from a cursor that the shell has
+    /// authenticated.
     pub resume: Option<ResumePoint>,
 }
 
-/// Where a stream that another daemon may have started goes on.
+/// Position in a stream that any daemon may have started.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ResumePoint {
-    /// Where the stream lives.
+    /// Endpoint that holds the stream.
     pub endpoint: EndpointId,
-    /// Its name there.
+    /// Name of the stream at that endpoint.
     pub stream: String,
-    /// The next token that the caller lacks.
+    /// Offset of the first token that the caller lacks.
     pub offset: u32,
-    /// The entry that the cursor was made for; it must be the caller's.
+    /// Catalogue entry that the cursor was issued for. It must be the caller's entry.
     pub entry: crate::ids::EntryId,
 }
 
-/// A plain call. The shell keeps headers and body.
+/// A call to a plain HTTP service. The shell keeps the headers and the body.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
-    /// The method, in upper case.
+    /// HTTP method in upper case.
     pub method: String,
-    /// The path, without the query.
+    /// Path without the query.
     pub path: String,
 }
 
-/// From an endpoint, about an attempt that the core started. Dead keys are dropped.
+/// Event from an endpoint about an attempt that the reducer started. Events whose attempt key is no
+/// longer valid are dropped.
 #[derive(Clone, Debug)]
 pub enum EngineEvent {
-    /// The prefill is done and its KV cache waits for a decode endpoint.
+    /// The prefill is complete; its KV cache waits for a decode endpoint.
     Prefilled {
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptKey,
-        /// The KV cache's name at the prefill endpoint.
+        /// Handle of the KV cache at the prefill endpoint.
         handle: String,
-        /// Prompt tokens.
+        /// Number of prompt tokens that the endpoint counted.
         prompt_tokens: u32,
-        /// Prompt tokens that came from the prefix cache.
+        /// Number of prompt tokens that came from the prefix cache.
         cached_tokens: u32,
         /// Size of the KV cache in bytes.
         bytes: u64,
-        /// How long the endpoint spent.
+        /// Time that the endpoint spent on the prefill.
         prefill_time: Duration,
     },
-    /// The decode endpoint took the KV cache; tokens follow.
+    /// The decode endpoint has imported the KV cache; tokens follow.
     Started {
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptKey,
-        /// The stream's name at the endpoint.
+        /// Name of the stream at the endpoint.
         stream: String,
     },
-    /// Tokens came.
+    /// The endpoint sent tokens.
     Tokens {
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptKey,
-        /// Offset of the first one in this attempt's stream.
+        /// Offset of the first of these tokens in the stream.
         offset: u32,
-        /// Their texts, one each.
+        /// Text of each token.
         texts: Vec<String>,
     },
-    /// The stream ended by itself.
+    /// The stream reached its regular end.
     Finished {
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptKey,
-        /// `stop` or `length`.
+        /// Why generation ended: `stop` or `length`.
         reason: String,
-        /// All tokens of the stream, so that an end which overtakes tokens isn't taken for whole.
+        /// Total number of tokens in the stream. It shows whether tokens are missing when the end
+        /// overtakes some of them.
         tokens: u32,
     },
-    /// A plain service answered. The shell holds the answer.
+    /// A plain service answered. The shell holds its answer.
     Answered {
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptKey,
-        /// The HTTP status.
+        /// HTTP status of the answer.
         status: u16,
     },
     /// The attempt failed.
     Failed {
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptKey,
-        /// How.
+        /// How it failed.
         failure: Failure,
     },
-    /// A report on an endpoint, late and perhaps old.
+    /// Status report of an endpoint. It may arrive late and describe an older state.
     Report {
-        /// The endpoint.
+        /// Endpoint that the report is about.
         endpoint: EndpointId,
-        /// What it says.
+        /// Content of the report.
         report: EngineReport,
     },
 }
@@ -172,114 +178,114 @@
 /// How an attempt failed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Failure {
-    /// No connection could be made: nothing was sent.
+    /// No connection could be made, so nothing was sent.
     Unreachable,
-    /// The endpoint said that it did not run it: full.
+    /// The endpoint refused to run the call because it is full.
     Full,
-    /// The endpoint said that it did not run it: it is leaving.
+    /// The endpoint refused to run the call because it is leaving.
     Leaving,
-    /// The endpoint said that it did not run it, for another reason.
+    /// The endpoint refused to run the call for another reason.
     Refused,
-    /// The KV cache is gone.
+    /// The prefill endpoint no longer has the KV cache.
     Evicted,
-    /// The transfer between prefill and decode makes no progress.
+    /// The KV cache transfer from the prefill to the decode endpoint makes no progress.
     Stalled,
-    /// The connection broke or a time limit passed after something was sent.
+    /// The connection broke, or a timeout expired, after something was sent. The call may have run.
     Broken,
     /// Another reader took the stream over.
     TakenOver,
 }
 
-/// What an endpoint reports of itself.
+/// Report of an endpoint about its own state.
 #[derive(Clone, Debug)]
 pub enum EngineReport {
-    /// Its load, measured `age` ago.
+    /// Load and status of the endpoint.
     Load {
-        /// Requests running.
+        /// Number of requests that run.
         running: u32,
-        /// Requests waiting.
+        /// Number of requests that wait at the endpoint.
         queued: u32,
-        /// How old the figures are.
+        /// Age of these figures.
         age: Duration,
-        /// It is leaving: no new work.
+        /// Whether the endpoint is leaving and takes no new work.
         leaving: bool,
-        /// The model's name; empty when the endpoint does not say.
+        /// Name of the model; empty if the endpoint does not report it.
         model: String,
-        /// The model version that it serves; empty while it loads.
+        /// Version of the model that it serves; empty while it loads.
         version: String,
-        /// The adapter that it has loaded.
+        /// Adapter that it has loaded.
         adapter: String,
-        /// Its role; `None` when the endpoint does not say.
+        /// Role; `None` if the endpoint does not report it.
         role: Option<Role>,
-        /// The highest fencing number that it has taken; 0 when it keeps none.
+        /// Highest fencing number that it has accepted; 0 if it keeps none.
         fence: u64,
     },
-    /// Prefix cache events in order; `gap` when some before these were lost.
+    /// Changes of the prefix cache, in order.
     Cache {
-        /// Blocks that came.
+        /// Hashes of the blocks that were added.
         added: Vec<u64>,
-        /// Blocks that went.
+        /// Hashes of the blocks that were evicted.
         evicted: Vec<u64>,
-        /// Events were lost: what was known may be wrong.
+        /// Whether earlier changes were lost, so that the known contents of the cache may be wrong.
         gap: bool,
     },
-    /// All streams and KV caches that it holds.
+    /// All streams and KV caches that the endpoint holds.
     Streams(Vec<StreamInfo>),
-    /// The last order was taken.
+    /// The endpoint accepted the last order.
     OrderAccepted {
-        /// Its fencing number.
+        /// Fencing number of the order.
         fence: u64,
     },
-    /// The last order was refused: the endpoint has seen a higher fencing number.
+    /// The endpoint refused the last order because it has seen a higher fencing number.
     OrderFenced {
-        /// The endpoint's number.
+        /// Highest fencing number that the endpoint has seen.
         fence: u64,
     },
-    /// A report or order could not be had.
+    /// The endpoint gave no usable answer to a request for a report or to an order.
     NoResponse,
 }
 
-/// One stream or KV cache that an endpoint holds.
+/// A stream or KV cache that an endpoint holds.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct StreamInfo {
-    /// Its name at the endpoint.
+    /// Name of the stream, or handle of the KV cache, at the endpoint.
     pub stream: String,
-    /// It is a KV cache that waits, not a stream.
+    /// Whether this is a KV cache that waits for a decode endpoint.
     pub is_kv_cache: bool,
-    /// Whose it is.
+    /// VM of the daemon that owns it.
     pub vm: VmId,
-    /// The incarnation that started it or took it over.
+    /// Incarnation of the daemon that started it or took it over.
     pub incarnation: u64,
-    /// The request.
+    /// Request that it belongs to.
     pub request: u64,
-    /// How long ago a reader last took tokens from it.
+    /// Time since a reader last took tokens from it.
     pub idle: Duration,
 }
 
-/// From the platform, or from a peer in its place.
+/// Event from the platform, or from a peer that passes the platform's data on.
 #[derive(Clone, Debug)]
 pub enum PlatformEvent {
-    /// Documents that changed.
+    /// Catalogue documents were read.
     Documents {
-        /// The revision that they apply to; 0 when they are the whole.
+        /// Revision that the documents are a change to; 0 if they are the complete catalogue.
         base_revision: u64,
-        /// The revision afterwards.
+        /// Revision of the catalogue with these documents.
         revision: u64,
-        /// The documents.
+        /// The changed documents, or all documents.
         documents: Vec<Document>,
     },
-    /// The texts of a revision were checked.
+    /// The documents of a revision were checked and compiled.
     Checked {
-        /// The revision.
+        /// Revision that was checked.
         revision: u64,
-        /// The catalogue, or how many findings speak against it.
+        /// The compiled catalogue, or the number of findings because of which it is rejected.
         result: Result<Arc<Catalogue>, usize>,
     },
-    /// The VM list.
+    /// The VM list was read.
     Vms {
-        /// Its revision.
+        /// Revision of the list.
         revision: u64,
-        /// The VMs.
+        /// All VMs on the list.
         vms: Vec<VmRecord>,
     },
     /// A read of the catalogue failed.
--- a/crates/basilbank_core/src/reduce.rs
+++ b/crates/basilbank_core/src/reduce.rs
@@ -1,4 +1,4 @@
-//! The reducer: one function over all events, one module per concern.
+//! The reducer: one function that handles all events, with one module per concern.
 
 mod admit;
 mod affinity;
@@ -37,7 +37,7 @@
     time::Now,
 };
 
-/// Takes one event in and pushes what is to be done about it.
+/// Applies an event to the state and appends the resulting effects to `out`.
 pub fn reduce(state: &mut State, now: Now, event: Event, out: &mut Vec<Effect>) {
     let first_new = out.len();
     member::detect_pause(state, now, out);
@@ -64,7 +64,7 @@
     shutdown::exit_when_idle(state, now, out);
 }
 
-/// Takes in what this daemon said to itself.
+/// Handles the messages that this daemon has sent to itself.
 fn handle_local_messages(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     while let Some(body) = state.slots.inbox.pop_front() {
         let (vm, incarnation) = (state.local.vm, state.local.incarnation);
--- a/crates/basilbank_core/src/reduce/admit.rs
+++ b/crates/basilbank_core/src/reduce/admit.rs
@@ -1,4 +1,4 @@
-//! Who may run what.
+//! Admission of calls: authorization, limits and the start of accepted requests.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
     time::Now,
 };
 
-/// Methods that may be repeated unless someone says otherwise.
+/// Methods that may be repeated unless the caller or the service's configuration says otherwise.
 const SAFE_METHODS: [&str; 2] = ["GET", "HEAD"];
-/// When a caller should come back after a refusal that says nothing better.
+/// `Retry-After` of a temporary refusal for which no better estimate is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A call came in: accept it or refuse it.
+/// Accepts or refuses a call.
 pub fn on_call(state: &mut State, now: Now, call: Call, out: &mut Vec<Effect>) {
     let (team, entry) = match authorize(state, &call) {
         Ok(found) => found,
@@ -37,7 +37,8 @@
     }
     let request = new_request(state, now, call, team, entry, tokens);
     let (id, caller) = (request.id, request.caller);
-    // A cursor names the stream that is wanted, so nothing is run and there is nothing to claim.
+    // A request with a cursor reads an existing stream and runs nothing, so there is no idempotency
+    // key to claim.
     let is_resumed = request.draft.as_ref().is_some_and(|d| d.resume.is_some());
     let has_idempotency_key = request.idempotency.is_some() && !is_resumed;
     let key = state.requests.insert(request);
@@ -51,12 +52,13 @@
     }
 }
 
-/// The request's idempotency key is its own: it may run.
+/// Starts a request whose idempotency key was granted to it.
 pub fn on_key_claimed(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     start_after_claim(state, now, key, out);
 }
 
-/// The request's idempotency key belongs to a stream that runs elsewhere: read that from its start.
+/// Lets a request whose idempotency key belongs to a stream on another daemon read that stream from
+/// its start.
 pub fn join_stream(
     state: &mut State,
     now: Now,
@@ -66,7 +68,8 @@
 ) {
     let Some(request) = state.requests.arena.get_mut(key) else { return };
     let (endpoint, entry) = (EndpointId(record.endpoint), request.entry);
-    // The run is another request's: whatever becomes of this one, it can't be called not run.
+    // Another request runs the call, so this one can't report that nothing was run, whatever
+    // happens to it.
     request.risked = true;
     request.joined = true;
     request.repeatable = false;
--- a/crates/basilbank_core/src/reduce/affinity.rs
+++ b/crates/basilbank_core/src/reduce/affinity.rs
@@ -1,5 +1,5 @@
-//! Which prefill endpoint a prompt belongs to, so that prompts with the same beginning meet their
-//! cached prefix without daemons telling each other where they sent them.
+//! Prefix affinity: maps prompts with the same beginning to the same prefill endpoint, where their
+//! prefix is cached. Daemons compute the same mapping without exchanging messages about it.
 
 use crate::{
     catalogue::{EntryTarget, Role},
@@ -8,11 +8,13 @@
     state::{State, rank},
 };
 
-/// A block that more endpoints hold than this is part of what many prompts share, such as a team's
-/// instructions: it says nothing about where a prompt belongs.
+/// Maximum number of endpoints that may hold a block for it to identify a prompt. A block with more
+/// holders is shared by many prompts, such as a team's instructions, and says nothing about where a
+/// prompt belongs.
 const MAX_BLOCK_HOLDERS: usize = 2;
 
-/// The endpoint that a prompt belongs to; `None` when it has no part of its own.
+/// Returns the prefill endpoint that is preferred for a prompt, or `None` if the prompt has no
+/// block that is rare enough to identify it.
 #[must_use]
 pub fn preferred_endpoint(
     state: &State,
--- a/crates/basilbank_core/src/reduce/candidates.rs
+++ b/crates/basilbank_core/src/reduce/candidates.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a request asks for a slot.
+//! Choice of the endpoints that a request asks for a slot.
 
 use std::time::Duration;
 
@@ -10,50 +10,54 @@
     time::Now,
 };
 
-/// Of a pool of no more endpoints than this, all are looked at for a choice.
+/// Maximum size of a pool in which all endpoints are considered.
 const MAX_UNSAMPLED_POOL: usize = 16;
-/// Of larger pools a random sample this large.
+/// Number of endpoints that are drawn at random from a larger pool.
 const SAMPLE_SIZE: usize = 8;
-/// How much worse an endpoint in another data centre counts.
+/// Penalty of an endpoint in another data centre.
 const OTHER_DATA_CENTRE_PENALTY: Duration = Duration::from_millis(5);
-/// How much worse an endpoint counts whose steward had no slot.
+/// Penalty of an endpoint whose owner recently had no free slot, or that refused a call as full.
 const FULL_PENALTY: Duration = Duration::from_millis(200);
-/// How much worse a full endpoint counts than an empty one, by the last grant's word.
+/// Penalty of an endpoint whose slots were all used at the last grant; it is scaled by the fraction
+/// of used slots.
 const MAX_LOAD_PENALTY: Duration = Duration::from_millis(50);
-/// How much worse an endpoint counts where the request has failed before. Without it a request whose
-/// attempts all fall on one bad endpoint of a small pool spends its retries there.
+/// Penalty of an endpoint where an attempt of the request has failed. Without it, a request whose
+/// attempts all go to one bad endpoint of a small pool spends its retries there.
 const FAILED_BEFORE_PENALTY: Duration = Duration::from_secs(1);
-/// How long a grant's word on free slots is worth something.
+/// Time for which the number of free slots reported with a grant is used.
 const FREE_SLOTS_HINT_TTL: Duration = Duration::from_secs(2);
-/// Random part, so that daemons that know the same do not choose the same.
+/// Maximum random addition to the cost, so that daemons with the same information do not all choose
+/// the same endpoint.
 const MAX_JITTER: Duration = Duration::from_millis(10);
 
-/// What a prefill counts where its prompt belongs: the next one with the same beginning finds it.
+/// Fraction of the prefill time that counts at the preferred endpoint of a prompt. The next prompt
+/// with the same beginning finds its prefix cached there.
 const PREFERRED_COST_FACTOR: f64 = 0.1;
 
-/// What is looked for.
+/// What the endpoints are chosen for.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria {
-    /// The model or service.
+    /// Model or service that they must serve.
     pub target: EntryTarget,
-    /// The role.
+    /// Role that they must have.
     pub role: Role,
-    /// The attempt; endpoints that it has asked already are left out.
+    /// Attempt that needs a slot. Endpoints that it has already asked are left out.
     pub attempt: AttemptKey,
-    /// How many endpoints.
+    /// Maximum number of endpoints to return.
     pub count: usize,
 }
 
-/// What is known of a prompt's prefix.
+/// What is known about the prefix of a prompt.
 #[derive(Debug, Default)]
 struct Prefix {
-    /// Where it is cached or should be.
+    /// Endpoint that is preferred for the prompt by prefix affinity.
     preferred: Option<EndpointId>,
-    /// Blocks that endpoints have of it.
+    /// Endpoints that have part of the prefix cached, with the number of blocks.
     matches: Vec<(EndpointId, usize)>,
 }
 
-/// The endpoints that promise to serve an attempt soonest, best first, and how they compare.
+/// Returns the endpoints that are expected to serve an attempt soonest, each with its cost, in
+/// ascending order of cost.
 #[must_use]
 pub fn choose(state: &mut State, now: Now, criteria: &Criteria) -> Vec<(Duration, EndpointId)> {
     let prefix = find_prefix(state, criteria);
@@ -128,7 +132,8 @@
     Some(cost)
 }
 
-/// Where the endpoint should be: a prefill near its decode endpoint, all else near this daemon.
+/// Returns the data centre in which an endpoint is preferred: for a prefill that of the chosen
+/// decode endpoint, otherwise that of this daemon.
 fn preferred_data_centre(state: &State, criteria: &Criteria) -> DataCentreId {
     let slot = state.requests.attempts.get(criteria.attempt).and_then(|a| a.slot);
     let decode = slot.and_then(|s| state.view.endpoint(s.endpoint));
--- a/crates/basilbank_core/src/reduce/decode.rs
+++ b/crates/basilbank_core/src/reduce/decode.rs
@@ -1,4 +1,4 @@
-//! From a KV cache to a stream.
+//! Decode: from the import of a KV cache to the start of the stream.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
     time::Now,
 };
 
-/// Time that a transfer gets beyond its estimate before it counts as stalled.
+/// Time beyond its estimate after which a transfer counts as stalled.
 const TRANSFER_MARGIN: Duration = Duration::from_millis(60);
-/// Time limit of the whole stream's call.
+/// Time limit of the call that decodes and streams a completion.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The KV cache and the decode slot are there: import it.
+/// Imports the KV cache of an attempt at the decode endpoint that granted it a slot.
 pub fn start_import(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (Some(slot), Some(cache)) = (found.slot, found.cache.clone()) else { return };
@@ -32,12 +32,12 @@
     out.push(Effect::Engine(EngineCall::Decode { call, source, handle }));
 }
 
-/// How long an import may take.
+/// Returns the time after which an import counts as stalled.
 ///
-/// A transfer that stalls is seen only by its silence. Waiting until the KV cache is evicted would
-/// waste the whole prefill, so the transfer is abandoned while there is time for another one. Where
-/// transfers are slow lately the link is full, and a second transfer would only fill it further: there
-/// they get as long as they take.
+/// A stalled transfer shows only by the lack of an answer. Waiting until the KV cache is evicted
+/// would waste the whole prefill, so the transfer is abandoned while there is time for another one.
+/// If transfers have recently been slow, the link is saturated and a second transfer would only add
+/// to its load, so the time limit grows with the recent delays.
 #[must_use]
 pub fn import_timeout(state: &State, attempt: AttemptKey) -> Duration {
     let Some(found) = state.requests.attempts.get(attempt) else { return TRANSFER_MARGIN };
@@ -51,8 +51,10 @@
     remaining.saturating_sub(transfer + TRANSFER_MARGIN).max(usual)
 }
 
-/// Learns how long a transfer took. One that stalls teaches nothing: where links are full, those that
-/// come through late say so.
+/// Records how long a transfer took, compared with its estimate.
+///
+/// A transfer that stalls is not recorded: on saturated links, the transfers that complete late
+/// show the delay.
 pub fn record_transfer_time(state: &mut State, now: Now, attempt: AttemptKey) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (Some(slot), Some(cache)) = (found.slot, &found.cache) else { return };
@@ -66,7 +68,7 @@
     state.health.lags.entry(entry.target).or_default().transfer.add(expected, took);
 }
 
-/// The KV cache is still there but its decode endpoint is not: look for another.
+/// Looks for another decode endpoint for a KV cache that is still available.
 pub fn relocate(
     state: &mut State,
     now: Now,
@@ -79,7 +81,8 @@
     let failed_endpoint = slot.endpoint;
     let source = found.cache.as_ref().map(|c| c.endpoint);
     if let (Failure::Stalled, Some(source)) = (failure, source) {
-        // Both stewards are told, for only they see which of the two stalls with others as well.
+        // Both owners are told, because only they see which of the two endpoints has stalled
+        // transfers with others as well.
         let prefill = found.prefill.take();
         reserve::release_stalled(state, slot, source, out);
         if let Some(prefill) = prefill {
@@ -91,7 +94,8 @@
     let attempt = reserve::renew_attempt(state, attempt);
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     found.enter(AttemptStage::Move, now.mono);
-    // Else the endpoint that has just failed, and so has a free slot, would be the first to grant one.
+    // Without this, the endpoint that has just failed, and so has a free slot, would be the first
+    // to grant one.
     found.denied.push(failed_endpoint);
     let until = found.cache.as_ref().map_or(now.mono, |c| c.until);
     state.timers.set(until, Timer::Attempt(attempt));
@@ -101,7 +105,7 @@
     }
 }
 
-/// The decode endpoint streams.
+/// Handles the start of a stream at the decode endpoint.
 pub fn on_started(
     state: &mut State,
     now: Now,
@@ -120,8 +124,9 @@
     found.stream = Some(stream.clone());
     found.heard = now.mono;
     let (request, base, slot) = (found.request, found.base, found.slot);
-    // The prefill slot was kept until here: were it given back when the prefill was done, prompts with
-    // a cached prefix would fill the endpoint's memory faster than its link empties it.
+    // The prefill slot is held until the transfer is complete. If it were released at the end of
+    // the prefill, prompts with a cached prefix would fill the endpoint's memory faster than its
+    // link can send their KV caches.
     if let Some(slot) = found.prefill.take() {
         reserve::release(state, slot, out);
     }
@@ -135,7 +140,8 @@
     claim::publish_stream(state, request);
 }
 
-/// The stream's token at which this call started to read it; 0 unless a cursor said otherwise.
+/// Returns the offset at which an attempt started to read its stream; 0 unless the request has a
+/// cursor.
 fn resume_offset(state: &State, attempt: AttemptKey) -> i64 {
     let found = &state.requests.attempts[attempt];
     let completion = state.requests.arena[found.request].draft.as_ref();
--- a/crates/basilbank_core/src/reduce/deliver.rs
+++ b/crates/basilbank_core/src/reduce/deliver.rs
@@ -1,4 +1,4 @@
-//! Tokens to the caller: in order, and each once.
+//! Delivery of tokens to the caller, in order and each of them once.
 
 use crate::{
     effect::{Answer, Effect, Progress},
@@ -9,7 +9,7 @@
     time::Now,
 };
 
-/// Tokens came: pass on those that the caller lacks.
+/// Passes on the received tokens that the caller does not have yet.
 pub fn on_tokens(
     state: &mut State,
     now: Now,
@@ -58,7 +58,7 @@
     out.push(Effect::Answer { caller: request.caller, answer });
 }
 
-/// The stream ended by itself: the answer is whole if no token is missing.
+/// Completes the request at the end of its stream, unless tokens are missing.
 pub fn on_finished(
     state: &mut State,
     now: Now,
@@ -81,7 +81,7 @@
     complete(state, now, request, reason, out);
 }
 
-/// A request's answer is whole.
+/// Completes a request whose tokens have all been delivered.
 pub fn complete(
     state: &mut State,
     now: Now,
@@ -100,14 +100,15 @@
     settle::finish_request(state, now, &request, Outcome::Done, out);
 }
 
-/// Tokens are missing before those that came, or before the end.
+/// Handles a gap: tokens are missing before those that were received, or before the end of the
+/// stream.
 ///
-/// Passing on what came would leave a hole in the caller's text that nobody notices, so the stream
-/// is read again from the first token that is missing.
+/// Passing on the received tokens would leave an unnoticed gap in the caller's text, so the stream
+/// is read again from the first missing token.
 ///
-/// Not so right after a pause of this process: more that was sent meanwhile is still to be read,
-/// perhaps that another daemon has taken the stream over. If nothing comes, the silence has it read
-/// again.
+/// This is not done just after a pause of this process. More data that was sent during the pause is
+/// still to be read, and it may say that another daemon has taken the stream over. If no more data
+/// arrives, the stall timeout causes the stream to be read again.
 fn handle_gap(state: &mut State, now: Now, key: AttemptKey, out: &mut Vec<Effect>) {
     if state.members.presence.waiting.is_some() {
         return;
--- a/crates/basilbank_core/src/reduce/estimate.rs
+++ b/crates/basilbank_core/src/reduce/estimate.rs
@@ -1,4 +1,4 @@
-//! How long work takes, estimated from the catalogue.
+//! Estimates of how long work takes, from the rates in the catalogue.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
     state::{Lags, Prefixes, Request, State, View},
 };
 
-/// Assumed where the catalogue gives no rate, in tokens a second.
+/// Prefill rate that is assumed if the catalogue gives none.
 const DEFAULT_PREFILL_TOKENS_PER_SECOND: f64 = 10_000.0;
 
-/// The prefill of a request at a typical endpoint, nothing cached.
+/// Returns the prefill time of a request at a typical endpoint with nothing cached. The first
+/// prefill endpoint of the model stands for all.
 #[must_use]
 pub fn prefill_time(state: &State, request: &Request) -> Duration {
     let first = first_prefill_endpoint(state, request.entry);
@@ -19,7 +20,7 @@
     Duration::from_secs_f64(f64::from(request.prompt_tokens()) / rate)
 }
 
-/// The prefill of a request at one endpoint that has some of its blocks cached.
+/// Returns the prefill time of a request at an endpoint that has some of its blocks cached.
 #[must_use]
 pub fn prefill_time_at(
     state: &State,
@@ -34,7 +35,7 @@
     Duration::from_secs_f64(f64::from(fresh) / rate)
 }
 
-/// Prompt tokens of a request that an endpoint has cached, as far as is known.
+/// Returns the number of prompt tokens of a request that an endpoint is known to have cached.
 #[must_use]
 pub fn cached_tokens(state: &State, request: &Request, endpoint: EndpointId) -> u32 {
     let Some(completion) = &request.draft else { return 0 };
@@ -44,7 +45,8 @@
     found.map_or(0, |(_, blocks)| *blocks as u32 * model.block_tokens)
 }
 
-/// A block near the end of a request's prompt, and the tokens up to its end; zeros for none.
+/// Returns the hash of a block near the end of a request's prompt, and the number of tokens up to
+/// the end of that block. Both are 0 if there is no such block.
 #[must_use]
 pub fn last_block(view: &View, request: &Request) -> (u64, u32) {
     let last = request.draft.as_ref().and_then(|d| Prefixes::last(&d.block_hashes));
@@ -57,7 +59,7 @@
     (block, model.map_or(0, |m| m.block_tokens * blocks as u32))
 }
 
-/// The transfer of a request's KV cache over an idle link.
+/// Returns the time to transfer a request's KV cache over an idle link.
 #[must_use]
 pub fn transfer_time(state: &State, request: &Request) -> Duration {
     let token_bytes = model_of(state, request.entry).map_or(0, |m| m.token_bytes);
@@ -66,14 +68,15 @@
     time_on_link(bytes, rate)
 }
 
-/// The transfer of a number of bytes between two endpoints, over idle links.
+/// Returns the time to transfer a number of bytes between two endpoints over idle links.
 #[must_use]
 pub fn transfer_time_between(state: &State, bytes: u64, a: EndpointId, b: EndpointId) -> Duration {
     let rate = |id| state.view.endpoint(id).map_or(0, |e: &Endpoint| e.link_rate);
     time_on_link(bytes, rate(a)).max(time_on_link(bytes, rate(b)))
 }
 
-/// Tokens a second whose KV cache an endpoint's link carries; 0 when that is not known or no matter.
+/// Returns the number of tokens a second whose KV cache the link of a prefill endpoint can carry; 0
+/// if it is not known, or if the endpoint has another role.
 #[must_use]
 pub fn link_tokens_per_second(state: &State, endpoint: &Endpoint) -> f64 {
     let EntryTarget::Model(id) = endpoint.serves else { return 0.0 };
@@ -84,7 +87,7 @@
     }
 }
 
-/// How much longer the first token takes than the estimates say.
+/// Returns by how much the time to first token exceeds its estimate for an entry.
 #[must_use]
 pub fn lags(state: &State, entry: EntryId) -> Lags {
     let target = state.view.entry(entry).map(|e| e.target);
--- a/crates/basilbank_core/src/reduce/health.rs
+++ b/crates/basilbank_core/src/reduce/health.rs
@@ -1,4 +1,4 @@
-//! What is known of endpoints: load reports, prefix caches, failures and probes.
+//! Health of endpoints: load reports, prefix caches, failures and probes.
 
 use std::time::Duration;
 
@@ -12,25 +12,27 @@
     time::Now,
 };
 
-/// First time that an endpoint is set aside for; it doubles with each failure.
+/// Initial duration of an endpoint's exclusion; it doubles with each failure.
 const MIN_EXCLUSION: Duration = Duration::from_millis(250);
-/// Longest time that an endpoint is set aside for between two probes.
+/// Maximum duration of an endpoint's exclusion between two probes.
 const MAX_EXCLUSION: Duration = Duration::from_secs(10);
-/// Failures after which an endpoint that can be reached is set aside.
+/// Number of consecutive failures after which a reachable endpoint is excluded.
 const EXCLUSION_THRESHOLD: u32 = 2;
-/// How long an endpoint gets no work after it said that it is full.
+/// How long an endpoint gets no work after it refused a call as full.
 const FULL_PAUSE: Duration = Duration::from_millis(250);
-/// How long an endpoint gets no work after it said that it is leaving, unless it says otherwise.
+/// How long an endpoint gets no work after it refused a call because it is leaving. A load report
+/// in which it is not leaving ends this earlier.
 const LEAVING_EXCLUSION: Duration = Duration::from_secs(10);
 
-/// How long an endpoint whose transfers stall gets no work for the first time.
+/// Initial duration of the exclusion of an endpoint whose transfers stall.
 const MIN_STALL_EXCLUSION: Duration = Duration::from_secs(1);
-/// After this long without another rest, the next one is a first one.
+/// Time after the end of such an exclusion from which the next one is a first one again.
 const STALL_COUNT_RESET: Duration = Duration::from_secs(60);
-/// It doubles so many times.
+/// Maximum number of consecutive exclusions for stalls that are counted; the duration doubles with
+/// each one after the first.
 const MAX_STALL_COUNT: u32 = 4;
 
-/// A report came from an endpoint.
+/// Handles a report from an endpoint.
 pub fn on_report(
     state: &mut State,
     now: Now,
@@ -61,10 +63,11 @@
     }
 }
 
-/// Compares what an endpoint runs with what its steward granted.
+/// Compares the number of requests that an endpoint runs with the leases granted by this daemon as
+/// its owner.
 ///
-/// A stream that no daemon is known to hold (its holder died, or was granted it by another steward)
-/// still takes a slot. Granting that slot again would end in a refusal after a whole prefill.
+/// A stream without a known holder still takes a slot: its holder died, or another owner granted
+/// the slot. If that slot were granted again, the request would be refused after a whole prefill.
 fn reconcile_ledger(
     state: &mut State,
     now: Now,
@@ -79,12 +82,13 @@
         learning.unread = false;
     }
     ledger.learned();
-    // Leases that ended since the measurement were running then, so they are no one else's.
+    // Leases that ended after the measurement were still running at that time, so they are not
+    // unaccounted for.
     let held = ledger.leases.len() as u32 + ledger.ended_since(at);
     ledger.foreign = running.saturating_sub(held);
 }
 
-/// An endpoint failed: what is it to be trusted with next?
+/// Records a failure of an endpoint, and excludes it from new work if necessary.
 pub fn record_failure(
     state: &mut State,
     now: Now,
@@ -104,7 +108,7 @@
             known.aside = Some(Aside { until: now.mono + LEAVING_EXCLUSION, unreachable: true });
             return;
         }
-        // One end of a transfer can't tell which of the two is at fault: see `stalled`.
+        // One end of a transfer can't tell which of the two is at fault: see `on_transfer_stalled`.
         Failure::Stalled => return,
         Failure::Unreachable => known.failures = (known.failures + 1).max(EXCLUSION_THRESHOLD),
         Failure::Refused | Failure::Broken => known.failures += 1,
@@ -119,10 +123,12 @@
     log_endpoint(endpoint, "endpoint_aside", out);
 }
 
-/// A holder told this daemon, as an endpoint's steward, that a transfer from or to it stalled.
+/// Handles a holder's report to this daemon, the owner of an endpoint, that a transfer from or to
+/// that endpoint stalled.
 ///
-/// An endpoint is set aside when its transfers stall with several others and for several daemons: a
-/// single pair does not tell which end is at fault, and a daemon whose own way is cut would blame all.
+/// An endpoint is excluded if its transfers stall with several other endpoints and for several
+/// daemons. A single pair does not show which end is at fault, and a daemon whose own network path
+/// is interrupted would report all endpoints.
 pub fn on_transfer_stalled(
     state: &mut State,
     now: Now,
@@ -150,7 +156,7 @@
     out.push(Effect::Progress(Progress::Note { name, fields }));
 }
 
-/// Reads loads of the endpoints that this daemon decides on, and probes those that are set aside.
+/// Reads the load of the endpoints that this daemon owns, and probes excluded endpoints.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let interval = state.local.tuning.load_interval;
     state.timers.set(now.mono + interval, Timer::Loads);
@@ -172,8 +178,8 @@
     for endpoint in read {
         out.push(Effect::Engine(EngineCall::ReadLoad { endpoint }));
     }
-    // Where a load report proves nothing, as plain services have none, the next call is the probe, and
-    // its failure sets the endpoint aside for twice as long.
+    // Not every exclusion can be ended by a load report; plain services, for example, have none.
+    // There the next call is the probe: if it fails, the endpoint is excluded for twice as long.
     for endpoint in reinstated {
         state.health.entry(endpoint).aside = None;
         log_endpoint(endpoint, "endpoint_back", out);
--- a/crates/basilbank_core/src/reduce/place.rs
+++ b/crates/basilbank_core/src/reduce/place.rs
@@ -1,4 +1,4 @@
-//! Where a request runs: from its start to its slots.
+//! Placement of requests: from the start of an attempt to the grant of its slots.
 
 use std::time::Duration;
 
@@ -17,25 +17,26 @@
     time::Now,
 };
 
-/// Endpoints that are asked at once for a slot.
+/// Number of endpoints that an attempt asks first for a slot.
 const INITIAL_RESERVATIONS: usize = 1;
-/// Further endpoints that are asked when these have not granted it.
+/// Number of further endpoints to ask if none of these has granted a slot.
 const ADDED_RESERVATIONS: usize = 1;
-/// After this long.
+/// Time after which further endpoints are asked.
 const WIDEN_DELAY: Duration = Duration::from_millis(15);
-/// How long a late draft may hold a decode slot without a prefill slot.
+/// Time for which a late completion may hold a decode slot without a prefill slot.
 const MAX_LATE_HOLD: Duration = Duration::from_millis(500);
-/// Most endpoints at which one attempt waits.
+/// Maximum number of endpoints at which an attempt waits at the same time.
 const MAX_RESERVATIONS: usize = 8;
-/// An endpoint is asked later than the best one by this many times what its prefill takes longer: a
-/// prefix that is computed again takes prefill time from others, and cache from other prompts.
+/// Delay before a prefill endpoint is asked, as a multiple of how much longer its prefill takes
+/// than that at the best endpoint. Computing a cached prefix again at another endpoint takes
+/// prefill time from other requests, and cache space from other prompts.
 const DELAY_FACTOR: u32 = 2;
-/// How long a draft that is late already waits for the best one alone.
+/// Maximum time for which a completion that is already late waits for the best endpoint alone.
 const MAX_LATE_DELAY: Duration = Duration::from_secs(2);
-/// Prefill endpoints that differ by less are asked at the same time.
+/// Prefill endpoints whose start times differ by less than this are asked at the same time.
 const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(10);
 
-/// Starts a request's next attempt.
+/// Starts the next attempt of a request.
 pub fn start_attempt(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.arena.get(key) else { return };
     if request.stage != RequestStage::Waiting {
@@ -52,7 +53,7 @@
     }
 }
 
-/// An attempt has waited for a while: it waits at more endpoints.
+/// Asks further endpoints after an attempt has waited for a while.
 pub fn widen_search(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     if found.asks.len() < MAX_RESERVATIONS && found.stage != AttemptStage::Queue {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Asks up to `more` further endpoints for the slot that an attempt needs next.
+/// Asks up to `count` further endpoints for the slot that an attempt needs next.
 pub fn reserve_slots(
     state: &mut State,
     now: Now,
@@ -83,11 +84,11 @@
     }
 }
 
-/// Asks prefill endpoints for a slot: at once the one that promises to be done first, the others
-/// later, by how much later they would be done.
+/// Asks prefill endpoints for a slot: the one that is expected to be done first immediately, and
+/// each of the others later, by a multiple of how much later it would be done.
 ///
-/// The first grant wins. Were all asked at once, an endpoint without the prompt's prefix would often
-/// be a little quicker to grant and much slower to compute.
+/// The first grant wins. If all were asked at the same time, an endpoint without the prompt's
+/// prefix would often grant a slot slightly sooner and take much longer to compute.
 pub fn reserve_prefill_slots(
     state: &mut State,
     now: Now,
@@ -112,7 +113,8 @@
     reserve_due(state, now, attempt, out);
 }
 
-/// All that were asked have denied: asks the next one, unless so many have denied already.
+/// Asks the next endpoint after all endpoints that were asked have denied a slot, unless
+/// `max_denials` of them have denied one.
 pub fn reserve_next(
     state: &mut State,
     now: Now,
@@ -129,7 +131,7 @@
     }
 }
 
-/// Asks the endpoints whose time has come.
+/// Asks the planned prefill endpoints whose time has come.
 pub fn reserve_due(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let terms = slot_terms(state, now, attempt, Role::Prefill);
     loop {
@@ -170,17 +172,17 @@
     SlotTerms { tokens, transfer_tokens, lead, deadline }
 }
 
-/// How long a draft that holds a decode slot may wait for a prefill slot.
+/// Returns until when a completion that holds a decode slot may wait for a prefill slot.
 ///
-/// Where prefill is scarce, drafts that are late already would wait there with all decode slots in
-/// their hands, and those that could still be in time would not even get to the queue. So a draft
-/// that has become late gives its decode slot back and waits behind the others.
+/// If prefill is scarce, late completions would otherwise hold all decode slots while they wait for
+/// it, and completions that could still meet their target would not even reach the prefill queue. A
+/// completion that has become late therefore releases its decode slot and waits behind the others.
 fn decode_hold_deadline(now: Now, request: &Request, lead: Duration) -> Duration {
     let latest = request.due.saturating_sub(lead).max(now.mono + MAX_LATE_HOLD);
     latest.min(request.until)
 }
 
-/// A slot was granted to an attempt.
+/// Continues an attempt to which a slot was granted.
 pub fn on_granted(
     state: &mut State,
     now: Now,
@@ -218,7 +220,7 @@
     }
 }
 
-/// How a request that no endpoint can take is refused.
+/// Returns the reason for which a request that no endpoint can take is refused.
 #[must_use]
 pub fn refusal_reason(state: &State, key: RequestKey) -> Refusal {
     let Some(request) = state.requests.arena.get(key) else { return Refusal::NoEndpoint };
--- a/crates/basilbank_core/src/reduce/plain.rs
+++ b/crates/basilbank_core/src/reduce/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Calls to plain HTTP services.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
     time::Now,
 };
 
-/// Time limit of a call.
+/// Time limit of a call to a plain service.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// The shell's own time limit goes first; this much later the core stops waiting for it.
+/// How much later than the shell's time limit the core stops waiting, so that the shell reports a
+/// timeout first.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The slot is there: call.
+/// Calls the service at the endpoint that granted a slot.
 pub fn send_call(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let Some(slot) = found.slot else { return };
@@ -34,7 +35,7 @@
     }));
 }
 
-/// A plain service answered.
+/// Passes the answer of a plain service on and ends the request.
 pub fn on_answered(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (key, slot) = (found.request, found.slot);
--- a/crates/basilbank_core/src/reduce/prefill.rs
+++ b/crates/basilbank_core/src/reduce/prefill.rs
@@ -1,4 +1,4 @@
-//! A draft's prefill.
+//! Prefill of completions.
 
 use std::time::Duration;
 
@@ -10,27 +10,28 @@
     time::Now,
 };
 
-/// A prefill that takes this many times its estimate counts as broken.
+/// A prefill that takes longer than this multiple of its estimate, plus `TIMEOUT_MARGIN`, counts as
+/// failed.
 const TIMEOUT_FACTOR: u32 = 3;
-/// And this much longer.
+/// Constant part of a prefill's timeout.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a prefill endpoint reported at its end.
+/// Result of a prefill, as the endpoint reports it.
 #[derive(Clone, Debug)]
 pub struct PrefillResult {
-    /// The KV cache's name.
+    /// Handle of the KV cache at the endpoint.
     pub handle: String,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Prompt tokens that came from the prefix cache.
+    /// Number of prompt tokens that came from the prefix cache.
     pub cached_tokens: u32,
-    /// Size of the KV cache.
+    /// Size of the KV cache in bytes.
     pub bytes: u64,
-    /// Time spent.
+    /// Time that the endpoint spent on the prefill.
     pub prefill_time: Duration,
 }
 
-/// The decode slot is there: look for a prefill slot.
+/// Looks for a prefill slot for an attempt that has its decode slot.
 pub fn reserve_slot(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     found.enter(AttemptStage::Queue, now.mono);
@@ -41,10 +42,11 @@
     }
 }
 
-/// The prefill slot is there too: run it.
+/// Runs the prefill of an attempt that has both slots.
 ///
-/// It may have been long in coming. A decode endpoint that has begun to leave meanwhile must get no
-/// new work, so the request looks for other slots while nothing is spent on it.
+/// The wait for the prefill slot may have been long. If the decode endpoint has begun to leave in
+/// the meantime, it must not get new work, so the request looks for other slots before any work is
+/// spent on it.
 pub fn start(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let Some(slot) = found.prefill else { return };
@@ -68,7 +70,7 @@
     out.push(Effect::Engine(EngineCall::Prefill(call)));
 }
 
-/// How long a prefill may take.
+/// Returns the time limit of an attempt's prefill.
 #[must_use]
 pub fn timeout(state: &State, attempt: AttemptKey) -> Duration {
     let request = state.requests.attempts.get(attempt).map(|a| a.request);
@@ -78,10 +80,10 @@
     })
 }
 
-/// What an endpoint needs to know of an attempt.
+/// Returns the call of an attempt to a prefill or decode endpoint.
 ///
 /// # Panics
-/// When the attempt's key is dead.
+/// Panics if the attempt's key is no longer valid.
 #[must_use]
 pub fn completion_call(
     state: &State,
@@ -105,7 +107,7 @@
     }
 }
 
-/// The prefill is done: its KV cache goes to the decode endpoint.
+/// Handles the end of a prefill: starts the import of its KV cache at the decode endpoint.
 pub fn on_prefilled(
     state: &mut State,
     now: Now,
--- a/crates/basilbank_core/src/reduce/queue.rs
+++ b/crates/basilbank_core/src/reduce/queue.rs
@@ -1,8 +1,8 @@
 //! The order in which reservations that wait at one endpoint are served.
 //!
-//! First come entries that hold less than they are owed. What is left is lent: to requests whose
-//! target can still be met before others, and among these to the entry that holds the least of its
-//! share.
+//! Entries that hold less than the share they are owed come first. The remaining slots are lent:
+//! first to requests that can still meet their target, and among these to the entry that holds the
+//! least relative to its share.
 
 use std::time::Duration;
 
@@ -12,46 +12,48 @@
     time::Now,
 };
 
-/// The weight of an entry that is owed nothing.
+/// Minimum share by which an entry is weighted, including an entry that is owed nothing.
 const MIN_SHARE: f64 = 0.02;
 
-/// A slot is taken back for a reservation that has waited for this part of the time it has.
+/// A reservation becomes urgent, so that a slot is taken back for it, after it has waited for this
+/// fraction of its time: 1 / `URGENT_WAIT_DIVISOR`.
 const URGENT_WAIT_DIVISOR: u32 = 4;
-/// In so many times the time between two ends of leases one has most likely ended.
+/// Number of mean intervals between the ends of leases within which a lease very likely ends.
 const LIKELY_FREE_FACTOR: u32 = 2;
-/// A holder that has not given a slot back for this long can't: another one is asked.
+/// Time after which a holder that has not returned a preempted slot is assumed to be unable to, and
+/// another holder is asked.
 const PREEMPTION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The reservation to serve next.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Choice {
-    /// Its slot's name.
+    /// Key of the slot.
     pub key: SlotKey,
-    /// Its entry holds its owed share already.
+    /// Whether its entry already holds the share that it is owed, so that the slot is lent.
     pub lent: bool,
-    /// The group that it is in.
+    /// Group that the reservation is in.
     pub group: Group,
 }
 
-/// What a reservation is ordered by: less is served first.
+/// Sort key of reservations; lower ranks are served first.
 #[derive(Clone, Copy, PartialEq, PartialOrd, Debug)]
 struct Rank {
     lent: bool,
     group: Group,
-    /// How many times its share its entry holds; 0 below the owed share.
+    /// Used slots relative to the weight of the entry; 0 if the entry holds less than it is owed.
     usage_ratio: f64,
-    /// When it is due, or when it came if it is late.
+    /// Time at which it is due, or at which it arrived if it is late.
     at: Duration,
 }
 
-/// What an entry may have of an endpoint, and has.
+/// Share of an endpoint's slots that an entry is owed, and how much of it is used.
 #[derive(Clone, Copy, PartialEq, Debug)]
 struct FairShare {
-    /// Slots that it is owed.
+    /// Number of slots that the entry is owed.
     owed: f64,
-    /// Slots by which entries are compared.
+    /// Number of slots by which the entry is weighted against others.
     weight: f64,
-    /// Slots that it holds.
+    /// Number of slots that the entry holds.
     used: f64,
 }
 
@@ -64,7 +66,7 @@
     }
 }
 
-/// The reservation that gets the next free slot.
+/// Returns the reservation that gets the next free slot.
 #[must_use]
 pub fn next_reservation(ledger: &mut Ledger, view: &View, now: Now) -> Option<Choice> {
     if ledger.waiting.is_empty() || ledger.free() == 0 || now.mono < ledger.ready_at() {
@@ -85,7 +87,7 @@
     best.map(|(rank, key)| Choice { key, lent: rank.lent, group: rank.group })
 }
 
-/// How long a reservation will wait, as far as can be told.
+/// Estimates how long a reservation will wait; `None` if there is too little information.
 #[must_use]
 pub fn estimate_wait(ledger: &Ledger, view: &View, key: SlotKey, now: Now) -> Option<Duration> {
     let waiter = ledger.waiting.get(key)?;
@@ -96,8 +98,8 @@
     Some(if group == Group::Late { wait.max(drought) } else { wait })
 }
 
-/// Takes out those that can't be served in the time they have, and tells how long a new one would
-/// wait behind all others.
+/// Removes the reservations that can't be served before their deadlines. Also returns how long a
+/// new reservation would wait behind all others.
 #[must_use]
 pub fn remove_infeasible(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
     let Some(pace) = ledger.pace else { return Default::default() };
@@ -105,8 +107,9 @@
     if waiting.lines().any(|(_, queue)| queue.has(Group::Late)) {
         ledger.note_late(now.mono);
     }
-    // Those in time go before those that are late and come all the time, so how many there are now
-    // says little about when a late one is served. How long none has been says more.
+    // Reservations that are in time are served before late ones and keep arriving, so their current
+    // number says little about when a late one is served. The time since a late one was last served
+    // says more.
     let drought = ledger.drought(now.mono);
     let infeasible = waiting.take(|waiting, waiter, group, ahead| {
         let before = count_served_before(ledger, waiting, view, waiter.entry, group, ahead);
@@ -118,11 +121,12 @@
     (infeasible, ledger.behind(now.mono))
 }
 
-/// Leases to be taken back, with their holders.
+/// Returns the leases to take back, with their holders.
 ///
-/// Slots come free all the time, and an entry below its owed share gets the next one. Only where that
-/// takes too long, because others hold them for long answers, they are taken back: from the entry that
-/// holds most of its share, and from those that were granted last, which have lost least.
+/// Slots become free all the time, and an entry below its owed share gets the next one. Slots are
+/// taken back only if that takes too long because others hold them for long answers. They are taken
+/// from the entry that holds the most relative to its share, and from its most recent leases, which
+/// lose the least work.
 #[must_use]
 pub fn select_preemptions(ledger: &mut Ledger, view: &View, now: Now) -> Vec<(SlotKey, VmId)> {
     if !ledger.resumable || 0 < ledger.free() {
@@ -151,8 +155,8 @@
     preempted
 }
 
-/// Whether a slot is taken back for a reservation: it has used up much of its time, and is due before
-/// one will have come free by itself.
+/// Returns whether a slot is taken back for a reservation: it has used up much of its time, and it
+/// is due before a slot is likely to become free.
 fn is_urgent(group: Group, waiter: &Waiter, now: Now, soon: Duration) -> bool {
     let min_wait = waiter.due.saturating_sub(waiter.since) / URGENT_WAIT_DIVISOR;
     let has_waited = waiter.since + min_wait <= now.mono;
@@ -173,10 +177,11 @@
     of_entry.max_by_key(|(key, l)| (l.since, **key)).map(|(key, _)| *key)
 }
 
-/// How many reservations are served before one that has `ahead` of its own entry before it.
+/// Returns the number of reservations that are served before one that has `ahead` reservations of
+/// its own entry before it.
 ///
-/// Entries take turns by what they hold of their shares, so of each other entry only as many count as
-/// bring it to the same level.
+/// Entries take turns according to the slots they hold relative to their shares. Of each other
+/// entry, only as many reservations count as bring it to the same ratio.
 fn count_served_before(
     ledger: &Ledger,
     waiting: &Waiting,
--- a/crates/basilbank_core/src/reduce/reserve.rs
+++ b/crates/basilbank_core/src/reduce/reserve.rs
@@ -1,4 +1,4 @@
-//! The holder's side of slots: asking for them, renewing them, giving them back.
+//! The holder's side of slots: requesting, renewing and releasing them.
 
 use std::time::Duration;
 
@@ -13,25 +13,26 @@
     time::Now,
 };
 
-/// Stewards without a slot in time after which no other is asked: the rest is as full.
+/// Number of owners that may report no slot in time before no other owner is asked: the remaining
+/// endpoints are assumed to be as full.
 const MAX_FULL_DENIALS: usize = 2;
-/// A waiting reservation is sent again after this, in case it or its grant was lost.
+/// Initial interval at which a waiting reservation is sent again, in case it or its grant was lost.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a slot is wanted for.
+/// What a slot is requested for.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotTerms {
-    /// Tokens expected to be held or prefilled.
+    /// Number of tokens that are expected to be held or prefilled.
     pub tokens: u32,
-    /// Tokens whose KV cache leaves the endpoint afterwards.
+    /// Number of tokens whose KV cache is sent from the endpoint afterwards.
     pub transfer_tokens: u32,
-    /// From the grant until its use.
+    /// Time from the grant of the slot to its use.
     pub lead: Duration,
-    /// How long it may wait.
+    /// Time until which the reservation may wait.
     pub deadline: Duration,
 }
 
-/// Asks an endpoint's steward for a slot.
+/// Asks the owner of an endpoint for a slot.
 pub fn request_slot(
     state: &mut State,
     now: Now,
@@ -101,19 +102,19 @@
     peer::send(state, owner, Body::Reserve(reserve), out);
 }
 
-/// Gives a slot, or the wait for it, back.
+/// Releases a slot, or withdraws its reservation.
 pub fn release(state: &mut State, key: SlotKey, out: &mut Vec<Effect>) {
     send_release(state, key, release_message(key), out);
 }
 
-/// Gives a slot back after a call that failed. The steward hears of a refusal as full, for it granted a
-/// slot that was not there.
+/// Releases a slot after a failed call. If the endpoint refused the call as full, the owner is
+/// told, because it granted a slot that was not free.
 pub fn release_failed(state: &mut State, key: SlotKey, failure: Failure, out: &mut Vec<Effect>) {
     let release = Release { full: failure == Failure::Full, ..release_message(key) };
     send_release(state, key, release, out);
 }
 
-/// Gives a slot back whose use ended in a stalled transfer from or to another endpoint.
+/// Releases a slot whose use ended in a stalled transfer from or to another endpoint.
 pub fn release_stalled(state: &mut State, key: SlotKey, other: EndpointId, out: &mut Vec<Effect>) {
     let release = Release { stalled: other.0, ..release_message(key) };
     send_release(state, key, release, out);
@@ -127,7 +128,7 @@
     peer::send(state, owner, Body::Release(release), out);
 }
 
-/// Withdraws all that an attempt waits for.
+/// Withdraws all waiting reservations of an attempt.
 pub fn withdraw(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     for key in std::mem::take(&mut found.asks) {
@@ -135,7 +136,8 @@
     }
 }
 
-/// Gives an attempt a new key and number; the slots that it holds go with it, under their old names.
+/// Gives an attempt a new key and number. It keeps its slots, under the keys they were granted
+/// with.
 pub fn renew_attempt(state: &mut State, attempt: AttemptKey) -> AttemptKey {
     let attempt = state.requests.renew(attempt);
     let found = &state.requests.attempts[attempt];
@@ -147,7 +149,7 @@
     attempt
 }
 
-/// Registers a slot that is in use without having been asked for: a stream that is read on.
+/// Registers a slot that is used without having been requested, for a stream that is resumed.
 pub fn adopt_slot(
     state: &mut State,
     now: Now,
@@ -176,7 +178,7 @@
     send_holds(state, endpoint, out);
 }
 
-/// A steward granted a slot.
+/// Handles the grant of a slot.
 pub fn on_granted(state: &mut State, now: Now, from: VmId, grant: &Grant, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(grant.endpoint),
@@ -187,8 +189,8 @@
     known.free = Some((grant.free, now.mono));
     known.full = None;
     let Some(own) = state.slots.own.get_mut(&key) else {
-        // The request took another slot or ended: without this answer the slot would stay leased
-        // until the next list of holds.
+        // The request has taken another slot or ended. Without this release, the slot would stay
+        // leased until the owner receives the next list of held slots.
         peer::send(state, from, Body::Release(release_message(key)), out);
         return;
     };
@@ -206,7 +208,7 @@
     place::on_granted(state, now, attempt, key, out);
 }
 
-/// A steward denied a slot.
+/// Handles the denial of a slot.
 pub fn on_denied(state: &mut State, now: Now, deny: &Deny, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(deny.endpoint),
@@ -237,7 +239,7 @@
     }
 }
 
-/// A steward takes a slot back.
+/// Handles an owner's message that it takes a slot back.
 pub fn on_preempted(state: &mut State, now: Now, preempt: &Preempt, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(preempt.endpoint),
@@ -248,7 +250,7 @@
     retry::on_preempted(state, now, own.attempt, key, out);
 }
 
-/// Sends reservations again that wait, and renews what is held.
+/// Sends waiting reservations again, and renews held slots.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let waiting = state.slots.own.iter().filter(|(_, own)| !own.held);
     let stale =
@@ -272,7 +274,7 @@
     }
 }
 
-/// Tells the stewards what is held, also where nothing is any more.
+/// Sends owners the lists of held slots, including empty lists where the last slot was released.
 fn send_all_holds(state: &mut State, out: &mut Vec<Effect>) {
     let mut endpoints: Vec<_> = state.slots.known.keys().copied().collect();
     endpoints.extend(state.slots.held().map(|(key, _)| key.endpoint));
@@ -283,7 +285,7 @@
     }
 }
 
-/// Tells an endpoint's steward what is held there.
+/// Sends the owner of an endpoint the list of slots that this daemon holds there.
 pub fn send_holds(state: &mut State, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let Some(owner) = state.members.steward(endpoint.0) else { return };
     let holds = holds_at(state, endpoint);
@@ -295,7 +297,7 @@
     peer::send(state, owner, Body::Holds(holds), out);
 }
 
-/// What this daemon holds at an endpoint.
+/// Returns the slots that this daemon holds at an endpoint.
 pub fn holds_at(state: &State, endpoint: EndpointId) -> Holds {
     let own = state.slots.own.range(SlotKey::all_of(endpoint)).filter(|(_, own)| own.held);
     let holds = own.map(|(key, own)| Hold {
@@ -307,7 +309,8 @@
     Holds { endpoint: endpoint.0, holds: holds.collect() }
 }
 
-/// Stewardships may have moved: new stewards hear at once what is held and what waits.
+/// Handles a change of members, which may change the owners of endpoints: sends new owners the held
+/// slots and the waiting reservations without delay.
 pub fn on_members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let known = &state.slots.known;
     let moved = known.iter().filter(|(e, vm)| state.members.steward(e.0) != Some(**vm));
@@ -335,7 +338,7 @@
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Milliseconds from one moment to another; negative when that has passed.
+/// Returns the milliseconds from one time to another; negative if `to` is before `from`.
 fn to_signed_millis(from: Duration, to: Duration) -> i32 {
     let ahead = i32::try_from(to.saturating_sub(from).as_millis()).unwrap_or(i32::MAX);
     let behind = i32::try_from(from.saturating_sub(to).as_millis()).unwrap_or(i32::MAX);
--- a/crates/basilbank_core/src/reduce/resume.rs
+++ b/crates/basilbank_core/src/reduce/resume.rs
@@ -1,4 +1,4 @@
-//! Streams that are read on: from a caller's cursor, or after a connection broke.
+//! Resumption of streams, from a caller's cursor or after a connection broke.
 
 use crate::{
     effect::{Effect, EngineCall},
@@ -9,7 +9,7 @@
     time::Now,
 };
 
-/// Times that one stream is read again without a token coming.
+/// Maximum number of times that a stream is read again without receiving a token.
 pub const MAX_REREADS: u32 = 2;
 
 /// Reads the stream that a caller's cursor names.
@@ -32,10 +32,11 @@
     read_stream(state, now, attempt, out);
 }
 
-/// The stream to be read is not there any more.
+/// Ends a request whose stream no longer exists.
 ///
-/// Who asked by idempotency key did not ask for a stream but for the answer of the key's first request.
-/// To be refused would tell it that nothing was run, and it would send its request under a new key.
+/// A caller with an idempotency key asked for the answer of the key's first request, not for a
+/// stream. A refusal would tell it that nothing was run, and it would send its request under a new
+/// key.
 pub fn end_missing_stream(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     if state.requests.arena[key].joined {
         settle::end_as_unknown(state, now, key, out);
@@ -44,7 +45,7 @@
     }
 }
 
-/// Reads an attempt's stream again from the first token that is missing.
+/// Reads an attempt's stream again, from the first missing token.
 pub fn reread_stream(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let attempt = reserve::renew_attempt(state, attempt);
     state.requests.attempts[attempt].rereads += 1;
--- a/crates/basilbank_core/src/reduce/retry.rs
+++ b/crates/basilbank_core/src/reduce/retry.rs
@@ -1,4 +1,4 @@
-//! What follows a failure.
+//! Handling of failures: retries, continuation elsewhere, or the end of the request.
 
 mod wait;
 
@@ -18,12 +18,12 @@
     time::Now,
 };
 
-/// How long an answer that has begun may wait for capacity elsewhere.
+/// Maximum time for which a partly delivered answer may wait for capacity at another endpoint.
 const MAX_CONTINUATION_WAIT: Duration = Duration::from_secs(300);
-/// An answer that has begun should go on within this.
+/// Target time within which a partly delivered answer is continued.
 const CONTINUATION_TARGET: Duration = Duration::from_secs(1);
 
-/// A call to an endpoint failed.
+/// Handles a failed call to an endpoint.
 pub fn on_failed(
     state: &mut State,
     now: Now,
@@ -51,7 +51,8 @@
     }
 }
 
-/// An attempt's time limit may have passed.
+/// Handles an attempt's timer: fails the attempt if its time limit has passed, else sets the timer
+/// again.
 pub fn on_timeout(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let stage = found.stage;
@@ -74,7 +75,7 @@
     }
 }
 
-/// Whether a failure proves that nothing was run.
+/// Returns whether a failure proves that the endpoint did not run the call.
 fn proves_not_run(failure: Failure) -> bool {
     matches!(failure, Failure::Unreachable | Failure::Full | Failure::Leaving | Failure::Refused)
 }
@@ -113,7 +114,7 @@
     retry_prefill(state, now, attempt, retry, out);
 }
 
-/// Keeps the decode slot and looks for another prefill endpoint.
+/// Looks for another prefill endpoint and keeps the decode slot.
 fn retry_prefill(
     state: &mut State,
     now: Now,
@@ -157,7 +158,7 @@
         if !is_repeatable {
             return settle::end_as_unknown(state, now, key, out);
         }
-        // The endpoint may have started all the same. Its KV cache, should it still be there, is
+        // The endpoint may have started despite the failure. If the KV cache still exists it is
         // used elsewhere, so only the decode side is cancelled.
         cancel_decode(state, attempt, out);
     }
@@ -175,7 +176,7 @@
     state.requests.attempts[attempt].cache = cache;
 }
 
-/// The KV cache has found no decode endpoint in time.
+/// Handles a KV cache for which no decode endpoint was found in time.
 pub fn on_cache_evicted(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let key = state.requests.attempts[attempt].request;
     waste::record_prefill(state, now, attempt, Waste::Evicted, out);
@@ -202,11 +203,12 @@
     on_stream_lost(state, now, attempt, Waste::DecodeFailed, out);
 }
 
-/// The caller, or another one with its key, reads the stream on through another call.
+/// Ends an attempt whose stream is now read through another call, by its caller or by another one
+/// with its key.
 ///
-/// To read it again here would take it back. The two readers would cut each other off, and the one
-/// whose caller has left would cancel the stream under the other: an answer that stops for no reason
-/// in the endpoint's log. So this side ends, and cancels nothing.
+/// Reading it again here would take it back: the two readers would interrupt each other, and the
+/// one whose caller has left would cancel the stream under the other, which shows as an answer that
+/// stops without a reason in the endpoint's log. This side therefore ends and cancels nothing.
 fn on_taken_over(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let found = &mut state.requests.attempts[attempt];
     let key = found.request;
@@ -216,7 +218,7 @@
     settle::end_as_unknown(state, now, key, out);
 }
 
-/// A stream is lost: its request goes on elsewhere from the text so far.
+/// Continues a request whose stream is lost at another endpoint, from the text delivered so far.
 pub fn on_stream_lost(
     state: &mut State,
     now: Now,
@@ -251,8 +253,8 @@
     place::start_attempt(state, now, key, out);
 }
 
-/// A stream that was read on from a cursor is lost. The text before the cursor is not known here, so
-/// it can't be continued elsewhere.
+/// Ends a request that read a stream from a cursor and lost it. The text before the cursor is not
+/// known here, so the answer can't be continued elsewhere.
 fn end_resumed(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     if state.requests.arena[key].delivered == 0 {
         resume::end_missing_stream(state, now, key, out);
@@ -261,7 +263,7 @@
     }
 }
 
-/// A steward takes a slot back: the request goes on elsewhere.
+/// Handles the loss of a slot that its owner takes back: the request continues elsewhere if it can.
 pub fn on_preempted(
     state: &mut State,
     now: Now,
@@ -283,8 +285,8 @@
             log_retry(state, key, Retry::Preempted, PREFILL_RETRY_PAUSE, out);
             schedule_attempt(state, now, key, PREFILL_RETRY_PAUSE, out);
         }
-        // Its prefill runs or has just ended, so it is about to use the slot, or nobody else may
-        // finish it: the steward takes another one.
+        // Its prefill runs or has just ended, so it is about to use the slot, or it is not allowed
+        // to continue elsewhere. The owner takes another slot back instead.
         _ => {}
     }
 }
--- a/crates/basilbank_core/src/reduce/retry/wait.rs
+++ b/crates/basilbank_core/src/reduce/retry/wait.rs
@@ -1,4 +1,4 @@
-//! Requests that wait: for a slot that was denied, and before they are tried again.
+//! Requests that wait after a denied slot or before a retry.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
     time::Now,
 };
 
-/// Pause before a draft that found no prefill slot asks for a decode slot again.
+/// Initial pause before a completion that found no prefill slot asks for a decode slot again.
 pub(super) const PREFILL_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// It grows with each time, up to this many times.
+/// Maximum factor by which this pause grows; it grows with each attempt.
 const MAX_PAUSE_FACTOR: u32 = 8;
-/// A refused caller is told to come back no sooner than after this: what is full now is full in a
-/// moment, and callers who come back at once keep it so.
+/// Minimum `Retry-After` for a refused caller. Resources that are used up now are still used up a
+/// moment later, and callers that return immediately keep them so.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// And no later.
+/// Maximum `Retry-After` for a refused caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Pause before a steward is asked again that could not decide.
+/// Mean pause before the next attempt if an owner was not able to decide.
 const UNDECIDED_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Every steward that was asked has denied a slot.
+/// Handles the denial of a slot by all owners that were asked.
 pub fn on_all_denied(
     state: &mut State,
     now: Now,
@@ -47,7 +47,8 @@
         return schedule_attempt(state, now, key, pause, out);
     }
     if stage == AttemptStage::Queue && now.mono + retry.max(PREFILL_RETRY_PAUSE) < until {
-        // It held a decode slot in vain: others come first now, and it waits behind them.
+        // It held a decode slot without using it. Other requests come first now, and it waits
+        // behind them.
         let longest =
             PREFILL_RETRY_PAUSE * state.requests.arena[key].attempts.min(MAX_PAUSE_FACTOR);
         let pause = longest.mul_f64(0.5 + state.rng.unit());
@@ -60,7 +61,7 @@
     settle::give_up(state, now, key, refusal, Some(retry_after), out);
 }
 
-/// No endpoint can be asked now.
+/// Handles that no endpoint can be asked: waits and tries again, or gives the request up.
 pub fn on_no_endpoint(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let key = state.requests.attempts[attempt].request;
     let request = &state.requests.arena[key];
@@ -72,7 +73,7 @@
     settle::give_up(state, now, key, Refusal::NoEndpoint, Some(pause), out);
 }
 
-/// Gives an attempt's slots back and looks for others, before anything was sent.
+/// Releases an attempt's slots and starts a new attempt, before anything was sent.
 pub fn restart_attempt(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(key) = state.requests.attempts.get(attempt).map(|a| a.request) else { return };
     settle::end_attempt(state, attempt, out);
@@ -94,7 +95,8 @@
     state.timers.set(now.mono + pause, Timer::Request(key));
 }
 
-/// Starts a request anew after a pause, if its attempts and the retry budget allow it.
+/// Schedules a request's next attempt after a backoff, if the number of its attempts and the retry
+/// budget allow it.
 pub(super) fn retry_after_backoff(
     state: &mut State,
     now: Now,
@@ -114,7 +116,8 @@
     schedule_attempt(state, now, key, backoff, out);
 }
 
-/// Takes one retry from the request's attempts and from the budget.
+/// Takes one retry from the request's attempts and from the budget. Returns whether the retry is
+/// allowed.
 pub(super) fn take_retry(state: &mut State, key: RequestKey) -> bool {
     let request = &mut state.requests.arena[key];
     request.failures += 1;
--- a/crates/basilbank_core/src/reduce/settle.rs
+++ b/crates/basilbank_core/src/reduce/settle.rs
@@ -1,4 +1,4 @@
-//! How requests end.
+//! The end of requests: answers, refusals, cancellation and accounting.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
     time::Now,
 };
 
-/// When a caller should come back after a refusal that knows nothing better.
+/// `Retry-After` of a temporary refusal for which no better estimate is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Most retries that successes can save up.
+/// Maximum number of retries that successes can accumulate.
 const MAX_RETRY_BUDGET: f64 = 50.0;
 
-/// The caller left: cancel what is held for it.
+/// Handles a caller that disconnected: cancels what is held for it.
 pub fn on_caller_left(state: &mut State, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
     let Some(key) = state.requests.callers.get(&caller).copied() else { return };
     if let RequestStage::Running(attempt) = state.requests.arena[key].stage {
@@ -43,7 +43,7 @@
     refuse_with_retry_after(state, now, key, refusal, retry_after, out);
 }
 
-/// Refuses an accepted request of which nothing was run, and says when to come back.
+/// Refuses an accepted request of which nothing was run, and tells the caller when to try again.
 pub fn refuse_with_retry_after(
     state: &mut State,
     now: Now,
@@ -63,7 +63,8 @@
     finish_request(state, now, &request, outcome, out);
 }
 
-/// Gives a request up: refuses it if nothing of it can have run, else says that it is unknown.
+/// Gives a request up: refuses it if nothing of it can have run, else reports that its outcome is
+/// unknown.
 pub fn give_up(
     state: &mut State,
     now: Now,
@@ -80,7 +81,7 @@
     }
 }
 
-/// A request may have run and can't be finished.
+/// Ends a request that may have run and can't be completed.
 pub fn end_as_unknown(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     end_current_attempt(state, key, out);
     let Some(request) = state.requests.remove(key) else { return };
@@ -94,7 +95,7 @@
     }
 }
 
-/// Ends an attempt: cancels what endpoints hold for it, and gives its slots back.
+/// Ends an attempt: cancels what endpoints hold for it, and releases its slots.
 pub fn end_attempt(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
     cancel_at_endpoints(state, attempt, out);
     reserve::withdraw(state, attempt, out);
@@ -126,7 +127,8 @@
     }
 }
 
-/// What is done at every end.
+/// Does the accounting at the end of every request: the retry budget, the entry's limit, the
+/// idempotency key and the progress report.
 pub fn finish_request(
     state: &mut State,
     now: Now,
--- a/crates/basilbank_core/src/reduce/waste.rs
+++ b/crates/basilbank_core/src/reduce/waste.rs
@@ -1,4 +1,4 @@
-//! Work that no caller received is charged to nobody, and counted by cause.
+//! Records work that no caller received. It is charged to nobody, and counted by cause.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     time::Now,
 };
 
-/// The prefill of an attempt that ends without its result's use.
+/// Records the prefill time of an attempt that ends before its result was used.
 pub fn record_prefill(
     state: &State,
     now: Now,
@@ -31,7 +31,7 @@
     out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens: 0 }));
 }
 
-/// Tokens that the caller had already.
+/// Records tokens that the caller had already received.
 pub fn record_duplicates(request: RequestId, tokens: u32, out: &mut Vec<Effect>) {
     let waste = Waste::Duplicate;
     let prefill = Duration::ZERO;
