--- a/crates/basilbank_forward/src/reduce/admission.rs
+++ b/crates/basilbank_forward/src/reduce/admission.rs
@@ -72,8 +72,8 @@
         call.digest = call.digest.for_team(team.id);
     }
     let max_wait = call.caller_timeout.map(|p| p.saturating_sub(state.tuning.answer_margin));
-    let wait = max_wait.unwrap_or(Duration::MAX).min(route.timeout);
-    let deadline = ctx.now + wait;
+    let timeout = max_wait.unwrap_or(Duration::MAX).min(route.timeout);
+    let deadline = ctx.now + timeout;
     if state.leaving.is_some_and(|leaving| leaving.refuses(ctx.now, deadline)) {
         return Err(Refusal::Leaving);
     }
--- a/crates/basilbank_forward/src/reduce/call_limit.rs
+++ b/crates/basilbank_forward/src/reduce/call_limit.rs
@@ -18,7 +18,7 @@
 };
 
 /// Maximum wait for a permit that is requested before any call needs it.
-const PREFETCH_MAX_WAIT: Duration = Duration::from_millis(300);
+const MAX_PREFETCH_WAIT: Duration = Duration::from_millis(300);
 
 /// Maximum time for which a daemon stays in an issuer's queue: callers of completions give up after
 /// it.
@@ -30,8 +30,8 @@
 
 /// Records the call limit that an endpoint's answer states.
 pub fn record_limit(ctx: &mut Context<'_>, key: EndpointKey, rate: Option<f64>) {
-    let known = ctx.state.directory.get(key).is_some_and(|endpoint| !endpoint.gone);
-    if known && ctx.state.call_limits.see(key, rate, ctx.now) {
+    let is_listed = ctx.state.directory.get(key).is_some_and(|endpoint| !endpoint.gone);
+    if is_listed && ctx.state.call_limits.see(key, rate, ctx.now) {
         handle_change(ctx, key, rate, "answer");
         ctx.state.peers.tell_soon();
     }
@@ -80,15 +80,15 @@
 /// to this one. Returns `false` if none of the endpoints will have one within `max_wait`.
 pub fn request_permit(ctx: &mut Context<'_>, id: RequestId, max_wait: Duration) -> bool {
     let Some(request) = ctx.state.requests.get(&id) else { return false };
-    let lacking = ctx.state.endpoints_without_permit(&request.service, ctx.now);
+    let candidates = ctx.state.endpoints_without_permit(&request.service, ctx.now);
     let waiting = &ctx.state.permits.waiting;
     let position = waiting.iter().position(|other| *other == id).unwrap_or(waiting.len());
     loop {
-        let pending = ctx.state.permits.coming(&lacking, ctx.now);
+        let pending = ctx.state.permits.coming(&candidates, ctx.now);
         if position < pending {
             return true;
         }
-        match ctx.state.pick_endpoint_to_ask(&lacking, ctx.now) {
+        match ctx.state.pick_endpoint_to_ask(&candidates, ctx.now) {
             Some(endpoint) => ask_issuer(ctx, endpoint, max_wait),
             None => return pending != 0,
         }
@@ -110,9 +110,9 @@
     if !open && !request.is_completion(ctx.state) {
         return;
     }
-    let lacking = ctx.state.endpoints_without_permit(&request.service, ctx.now);
-    if let Some(endpoint) = ctx.state.pick_endpoint_to_ask(&lacking, ctx.now) {
-        ask_issuer(ctx, endpoint, PREFETCH_MAX_WAIT);
+    let candidates = ctx.state.endpoints_without_permit(&request.service, ctx.now);
+    if let Some(endpoint) = ctx.state.pick_endpoint_to_ask(&candidates, ctx.now) {
+        ask_issuer(ctx, endpoint, MAX_PREFETCH_WAIT);
     }
 }
 
@@ -225,10 +225,10 @@
     /// call limit.
     fn pick_endpoint_to_ask(
         &mut self,
-        lacking: &[EndpointKey],
+        candidates: &[EndpointKey],
         now: Duration,
     ) -> Option<EndpointKey> {
-        let open = lacking.iter().filter(|key| self.permits.is_open(**key, now));
+        let open = candidates.iter().filter(|key| self.permits.is_open(**key, now));
         let rate = |key: &EndpointKey| self.call_limits.get(*key).unwrap_or_default();
         let open: Vec<_> = open.map(|key| (*key, rate(key))).collect();
         let mut drawn = self.rng.unit() * open.iter().map(|(_, rate)| rate).sum::<f64>();
--- a/crates/basilbank_forward/src/reduce/completion.rs
+++ b/crates/basilbank_forward/src/reduce/completion.rs
@@ -9,7 +9,7 @@
 
 use super::{
     next_step::{Dispatch, NextStep},
-    placement::{self, Criteria, Decode},
+    placement::{self, Criteria, DecodeChoice},
 };
 use crate::{
     call::{Prompt, RequestId},
@@ -72,12 +72,12 @@
     let peers_ahead = state.before(&service, due, now);
     let criteria = Criteria { near, share, memory_fraction, session: prompt.session };
     let endpoint = match placement::pick_decode(state, &service, &tried, &criteria, now) {
-        Decode::At(endpoint) => endpoint,
-        Decode::Full => {
+        DecodeChoice::At(endpoint) => endpoint,
+        DecodeChoice::Full => {
             state.line.taken(&service);
             return NextStep::WaitForCapacity;
         }
-        Decode::None => return NextStep::GiveUp(Refusal::NoEndpoint),
+        DecodeChoice::None => return NextStep::GiveUp(Refusal::NoEndpoint),
     };
     let wait =
         state.tuning.line_step.saturating_mul(u32::try_from(peers_ahead).unwrap_or(u32::MAX));
--- a/crates/basilbank_forward/src/reduce/crash.rs
+++ b/crates/basilbank_forward/src/reduce/crash.rs
@@ -22,11 +22,11 @@
         return;
     }
     let Some(request) = ctx.state.requests.get(&id) else { return };
-    let (digest, ran) = (request.call.digest, ctx.now.saturating_sub(live.began));
+    let (digest, run_time) = (request.call.digest, ctx.now.saturating_sub(live.began));
     // An endpoint that leaves aborts its calls; they are not the cause of its end.
     let is_serving = ctx.state.directory.get(live.endpoint).is_some_and(|e| e.takes_work());
     if is_serving {
-        ctx.state.crashes.broke(live.endpoint, digest, ran, ctx.now);
+        ctx.state.crashes.broke(live.endpoint, digest, run_time, ctx.now);
         suspect::request_probe(ctx, live.endpoint);
     }
 }
@@ -105,8 +105,8 @@
 }
 
 fn apply_report(ctx: &mut Context<'_>, report: &CrashReport) {
-    let known = ctx.state.quarantine.left(Digest(report.digest), ctx.now).is_some();
-    ctx.state.crashes.reported(report, known, ctx.now);
+    let is_quarantined = ctx.state.quarantine.left(Digest(report.digest), ctx.now).is_some();
+    ctx.state.crashes.reported(report, is_quarantined, ctx.now);
 }
 
 fn record_cause(ctx: &mut Context<'_>, digest: Digest, reason: &str) {
--- a/crates/basilbank_forward/src/reduce/freshness.rs
+++ b/crates/basilbank_forward/src/reduce/freshness.rs
@@ -12,11 +12,11 @@
 }
 
 /// Handles a peer's queries and replies.
-pub fn handle_messages(ctx: &mut Context<'_>, from: SocketAddr, words: &[ConfigurationAge]) {
-    for word in words {
-        match word.age {
-            None => reply(ctx, from, word.asked),
-            Some(age) => handle_reply(ctx, word, Duration::from_millis(u64::from(age))),
+pub fn handle_messages(ctx: &mut Context<'_>, from: SocketAddr, messages: &[ConfigurationAge]) {
+    for message in messages {
+        match message.age {
+            None => reply(ctx, from, message.asked),
+            Some(age) => handle_reply(ctx, message, Duration::from_millis(u64::from(age))),
         }
     }
 }
@@ -29,10 +29,10 @@
     send(ctx, to, ConfigurationAge { asked, age: Some(age), version });
 }
 
-fn handle_reply(ctx: &mut Context<'_>, word: &ConfigurationAge, age: Duration) {
+fn handle_reply(ctx: &mut Context<'_>, message: &ConfigurationAge, age: Duration) {
     // A newer version that the peer has read and this daemon has not may revoke keys.
-    if word.version <= ctx.state.routes.version {
-        ctx.state.freshness.prove_by(word.asked, age);
+    if message.version <= ctx.state.routes.version {
+        ctx.state.freshness.prove_by(message.asked, age);
     }
 }
 
@@ -46,6 +46,6 @@
     }
 }
 
-fn send(ctx: &mut Context<'_>, to: SocketAddr, word: ConfigurationAge) {
-    ctx.send(vec![to], LoadBeat { ages: vec![word], ..LoadBeat::default() });
+fn send(ctx: &mut Context<'_>, to: SocketAddr, message: ConfigurationAge) {
+    ctx.send(vec![to], LoadBeat { ages: vec![message], ..LoadBeat::default() });
 }
--- a/crates/basilbank_forward/src/reduce/gossip.rs
+++ b/crates/basilbank_forward/src/reduce/gossip.rs
@@ -40,10 +40,10 @@
     let peers = &mut ctx.state.peers;
     let previous = peers.known.get(&from);
     // Datagrams can be reordered; an older one is outdated.
-    let stale = previous.is_some_and(|peer| {
+    let is_stale = previous.is_some_and(|peer| {
         (gossip.incarnation, gossip.sequence) <= (peer.incarnation, peer.sequence)
     });
-    if stale || Some(from) == peers.own {
+    if is_stale || Some(from) == peers.own {
         return;
     }
     let addresses: Vec<_> = gossip.peers.iter().filter_map(|peer| from_wire(*peer)).collect();
--- a/crates/basilbank_forward/src/reduce/gossip_send.rs
+++ b/crates/basilbank_forward/src/reduce/gossip_send.rs
@@ -336,13 +336,13 @@
     fn revision_to_send(
         &self,
         topic: Topic,
-        news: &PerTopic<Revision>,
+        latest: &PerTopic<Revision>,
         is_full: bool,
     ) -> Option<StoreRevision> {
-        let newest = *news.get(topic);
-        let is_news = is_full || *self.told_news.get(topic) != newest;
+        let newest = *latest.get(topic);
+        let has_changed = is_full || *self.told_news.get(topic) != newest;
         let Revision { era, number } = newest;
-        (is_news && !newest.is_none()).then_some(StoreRevision { era, number })
+        (has_changed && !newest.is_none()).then_some(StoreRevision { era, number })
     }
 }
 
--- a/crates/basilbank_forward/src/reduce/outcome.rs
+++ b/crates/basilbank_forward/src/reduce/outcome.rs
@@ -21,11 +21,11 @@
 /// Handles the outcome of an attempt.
 pub fn handle_outcome(ctx: &mut Context<'_>, id: RequestId, number: u32, outcome: Outcome) {
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    let Some(at) = request.live.iter().position(|live| live.number == number) else { return };
-    let live = request.live[at];
+    let Some(index) = request.live.iter().position(|live| live.number == number) else { return };
+    let live = request.live[index];
     let is_streaming = outcome == Outcome::Streaming;
     if !is_streaming {
-        request.live.swap_remove(at);
+        request.live.swap_remove(index);
     }
     update_endpoint(ctx, &live, &outcome);
     log_outcome(ctx, id, &live, &outcome);
@@ -46,9 +46,9 @@
             record_generation(ctx, id, &live);
             finish::finish_stream(ctx, id);
         }
-        Outcome::NotRun(why) => {
+        Outcome::NotRun(reason) => {
             count_refusal(ctx, id, &live);
-            handle_not_run(ctx, id, &live, matches!(why, NotRun::Busy { .. }));
+            handle_not_run(ctx, id, &live, matches!(reason, NotRun::Busy { .. }));
         }
         Outcome::Unreachable => handle_not_run(ctx, id, &live, false),
         Outcome::Broken(_) | Outcome::Silent => {
--- a/crates/basilbank_forward/src/reduce/placement.rs
+++ b/crates/basilbank_forward/src/reduce/placement.rs
@@ -35,16 +35,21 @@
     let fastest = state.directory.service(service).filter_map(|(_, e)| e.mean).min();
     let fastest = fastest.unwrap_or_default();
     let permitted = state.directory.service(service).filter(|(key, _)| state.has_permit(*key, now));
-    let costs = permitted.map(|(key, endpoint)| {
+    let candidates = permitted.map(|(key, endpoint)| {
         let mean = endpoint.mean.unwrap_or(fastest);
         let slots = f64::from(endpoint.info.slots.max(1));
         let queue = 1.0 + f64::from(endpoint.all_calls()) / slots;
-        let trip = if endpoint.info.data_centre == *local { Duration::ZERO } else { remote };
-        let cost = mean.as_secs_f64() * queue + trip.as_secs_f64();
-        Candidate { key, cost, last: avoided_for(endpoint, now), tried: tried.contains(&key) }
+        let remote_cost = if endpoint.info.data_centre == *local { Duration::ZERO } else { remote };
+        let cost = mean.as_secs_f64() * queue + remote_cost.as_secs_f64();
+        Candidate {
+            key,
+            cost,
+            avoided_for: avoided_for(endpoint, now),
+            tried: tried.contains(&key),
+        }
     });
-    let costs: Vec<_> = costs.collect();
-    match pick_cheapest(state, &costs, 0.0) {
+    let candidates: Vec<_> = candidates.collect();
+    match pick_cheapest(state, &candidates, 0.0) {
         Some(key) => PlainChoice::At(key),
         None if state.directory.service(service).next().is_some() => PlainChoice::Limited,
         None => PlainChoice::None,
@@ -83,10 +88,10 @@
     tried: &[EndpointKey],
     criteria: &Criteria,
     now: Duration,
-) -> Decode {
-    let Some(engine) = state.routes.engine(service) else { return Decode::None };
+) -> DecodeChoice {
+    let Some(engine) = state.routes.engine(service) else { return DecodeChoice::None };
     let memory = f64::from(engine.memory.max(1));
-    let (full, growth) = (memory * criteria.memory_fraction, state.growth(service));
+    let (max_tokens, growth) = (memory * criteria.memory_fraction, state.growth(service));
     let data_centre =
         criteria.near.and_then(|key| state.directory.get(key)).map(|e| e.info.data_centre.clone());
     let data_centre = data_centre.unwrap_or_else(|| state.local.data_centre.clone());
@@ -95,26 +100,32 @@
     // An idle endpoint accepts any completion, however large.
     let permitted = endpoints.filter(|(key, _)| state.has_permit(*key, now));
     let peaks = permitted.map(|(key, e)| (key, e, e.peak(criteria.share, now, growth)));
-    let open = peaks.filter(|(_, e, peak)| e.all_calls() == 0 || *peak <= full);
-    let costs = open.map(|(key, endpoint, peak)| {
+    let fitting = peaks.filter(|(_, e, peak)| e.all_calls() == 0 || *peak <= max_tokens);
+    let candidates = fitting.map(|(key, endpoint, peak)| {
         let used = peak / memory;
         let remote_cost =
             if endpoint.info.data_centre == data_centre { 0.0 } else { REMOTE_MEMORY_FRACTION };
         let cost = used + remote_cost;
-        Candidate { key, cost, last: avoided_for(endpoint, now), tried: tried.contains(&key) }
+        Candidate {
+            key,
+            cost,
+            avoided_for: avoided_for(endpoint, now),
+            tried: tried.contains(&key),
+        }
     });
-    let costs: Vec<_> = costs.collect();
+    let candidates: Vec<_> = candidates.collect();
     // Only endpoints that don't answer, or have just refused work, have capacity. A completion that
     // waits for one of the others is served sooner.
-    let is_usable = state.directory.stage(service, Stage::Decode).any(|(_, e)| e.avoided <= now);
-    if is_usable && costs.iter().all(|cost| !cost.last.is_zero()) {
-        return Decode::Full;
+    let has_usable = state.directory.stage(service, Stage::Decode).any(|(_, e)| e.avoided <= now);
+    if has_usable && candidates.iter().all(|candidate| !candidate.avoided_for.is_zero()) {
+        return DecodeChoice::Full;
     }
-    let home = criteria.session.and_then(|session| pick_home(state, service, session, &costs, now));
-    match home.or_else(|| pick_cheapest(state, &costs, MEMORY_FRACTION_TOLERANCE)) {
-        Some(key) => Decode::At(key),
-        None if has_endpoints => Decode::Full,
-        None => Decode::None,
+    let home =
+        criteria.session.and_then(|session| pick_home(state, service, session, &candidates, now));
+    match home.or_else(|| pick_cheapest(state, &candidates, MEMORY_FRACTION_TOLERANCE)) {
+        Some(key) => DecodeChoice::At(key),
+        None if has_endpoints => DecodeChoice::Full,
+        None => DecodeChoice::None,
     }
 }
 
@@ -133,7 +144,7 @@
     state: &State,
     service: &str,
     session: u64,
-    open: &[Candidate],
+    candidates: &[Candidate],
     now: Duration,
 ) -> Option<EndpointKey> {
     let weight =
@@ -142,15 +153,16 @@
     let weights: Vec<_> = endpoints.map(|(key, e)| (weight(e), key)).collect();
     let first = weights.iter().max()?;
     let second = weights.iter().filter(|other| *other != first).max();
-    let is_usable = |cost: &&Candidate| !cost.tried && cost.last.is_zero();
-    let find = |(_, key): &(_, EndpointKey)| open.iter().filter(is_usable).find(|c| c.key == *key);
+    let is_usable = |candidate: &&Candidate| !candidate.tried && candidate.avoided_for.is_zero();
+    let find =
+        |(_, key): &(_, EndpointKey)| candidates.iter().filter(is_usable).find(|c| c.key == *key);
     match (find(first), second.and_then(find)) {
         (Some(first), Some(second)) => {
             let is_crowded =
                 second.cost + HOME_MEMORY_FRACTION < first.cost && !state.is_blind(now);
             Some(if is_crowded { second.key } else { first.key })
         }
-        (first, second) => first.or(second).map(|cost| cost.key),
+        (first, second) => first.or(second).map(|candidate| candidate.key),
     }
 }
 
@@ -160,7 +172,7 @@
 
 /// Result of picking a decode endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Decode {
+pub enum DecodeChoice {
     /// Send the completion to this endpoint.
     At(EndpointKey),
     /// The memory of all endpoints is taken.
@@ -191,17 +203,23 @@
         Some(_) => state.tuning.remote_kv.as_secs_f64(),
         None => state.tuning.remote_cost.as_secs_f64(),
     };
-    let readers = state.directory.stage(service, Stage::Prefill);
-    let costs = readers.filter(|(key, _)| state.has_permit(*key, now)).map(|(key, endpoint)| {
-        let remote_cost = if endpoint.info.data_centre == data_centre { 0.0 } else { remote };
-        let cost = f64::from(endpoint.all_tokens() + tokens) / rate * endpoint.slowness
-            + endpoint.base
-            + remote_cost;
-        Candidate { key, cost, last: avoided_for(endpoint, now), tried: tried.contains(&key) }
-    });
-    let costs: Vec<_> = costs.collect();
-    let unreported = unreported_seconds(state, service, &costs);
-    pick_leveling(state, &costs, PREFILL_SECONDS_TOLERANCE + unreported)
+    let endpoints = state.directory.stage(service, Stage::Prefill);
+    let candidates =
+        endpoints.filter(|(key, _)| state.has_permit(*key, now)).map(|(key, endpoint)| {
+            let remote_cost = if endpoint.info.data_centre == data_centre { 0.0 } else { remote };
+            let cost = f64::from(endpoint.all_tokens() + tokens) / rate * endpoint.slowness
+                + endpoint.base
+                + remote_cost;
+            Candidate {
+                key,
+                cost,
+                avoided_for: avoided_for(endpoint, now),
+                tried: tried.contains(&key),
+            }
+        });
+    let candidates: Vec<_> = candidates.collect();
+    let unreported = unreported_seconds(state, service, &candidates);
+    pick_leveling(state, &candidates, PREFILL_SECONDS_TOLERANCE + unreported)
 }
 
 /// Estimates the work, in seconds, that peers have sent to the service's prefill endpoints without
@@ -210,11 +228,11 @@
 /// By Little's law the known work arrived within the time that a prompt stays at an endpoint. As
 /// much again arrives in each such period, and what arrived since the peers' last reports is
 /// unknown.
-fn unreported_seconds(state: &State, service: &str, costs: &[Candidate]) -> f64 {
-    let stay = costs.iter().map(|c| c.cost).sum::<f64>() / costs.len().max(1) as f64;
+fn unreported_seconds(state: &State, service: &str, candidates: &[Candidate]) -> f64 {
+    let mean_stay = candidates.iter().map(|c| c.cost).sum::<f64>() / candidates.len().max(1) as f64;
     let reported = state.directory.stage(service, Stage::Prefill).map(|(_, e)| e.peer_tokens);
     let reported: f64 = reported.map(f64::from).sum::<f64>() / state.tuning.prefill_rate;
-    reported * state.peers.untold.as_secs_f64() / stay.max(MIN_STAY_SECONDS)
+    reported * state.peers.untold.as_secs_f64() / mean_stay.max(MIN_STAY_SECONDS)
 }
 
 /// Minimum time in seconds that a prompt is assumed to stay at a prefill endpoint; it bounds a
@@ -224,7 +242,7 @@
 struct Candidate {
     key: EndpointKey,
     cost: f64,
-    last: Duration,
+    avoided_for: Duration,
     tried: bool,
 }
 
@@ -240,20 +258,20 @@
 /// few, while others are idle. Odds based on the unknown work level the queues on average: without
 /// unknown work only the cheapest endpoints are picked, and with old views nearly all of them are
 /// equally likely.
-fn pick_leveling(state: &mut State, costs: &[Candidate], work: f64) -> Option<EndpointKey> {
-    let rank = |c: &Candidate| (c.tried, c.last);
-    let best_rank = costs.iter().map(rank).min()?;
-    let mut open: Vec<_> = costs.iter().filter(|c| rank(c) == best_rank).collect();
-    open.sort_unstable_by(|a, b| a.cost.total_cmp(&b.cost));
-    let level = water_level(open.iter().map(|c| c.cost), work);
+fn pick_leveling(state: &mut State, candidates: &[Candidate], work: f64) -> Option<EndpointKey> {
+    let rank = |c: &Candidate| (c.tried, c.avoided_for);
+    let best_rank = candidates.iter().map(rank).min()?;
+    let mut best: Vec<_> = candidates.iter().filter(|c| rank(c) == best_rank).collect();
+    best.sort_unstable_by(|a, b| a.cost.total_cmp(&b.cost));
+    let level = water_level(best.iter().map(|c| c.cost), work);
     let mut drawn = state.rng.unit() * work;
-    for cost in &open {
-        drawn -= (level - cost.cost).max(0.0);
+    for candidate in &best {
+        drawn -= (level - candidate.cost).max(0.0);
         if drawn < 0.0 {
-            return Some(cost.key);
+            return Some(candidate.key);
         }
     }
-    open.first().map(|cost| cost.key)
+    best.first().map(|candidate| candidate.key)
 }
 
 /// Returns the level that `work` more raises the lowest of these costs to. The costs are in
@@ -273,12 +291,17 @@
 
 /// Picks one of the cheapest endpoints at random. Endpoints that are avoided or have had the call
 /// before are ranked last.
-fn pick_cheapest(state: &mut State, costs: &[Candidate], near: f64) -> Option<EndpointKey> {
-    let rank = |c: &Candidate| (c.tried, c.last);
-    let best_rank = costs.iter().map(rank).min()?;
-    let least =
-        costs.iter().filter(|c| rank(c) == best_rank).map(|c| c.cost).fold(f64::MAX, f64::min);
-    let near = least + (least * RELATIVE_COST_TOLERANCE).max(near).max(f64::EPSILON);
-    let same: Vec<_> = costs.iter().filter(|c| rank(c) == best_rank && c.cost <= near).collect();
-    Some(same[state.rng.index(same.len())].key)
+fn pick_cheapest(
+    state: &mut State,
+    candidates: &[Candidate],
+    tolerance: f64,
+) -> Option<EndpointKey> {
+    let rank = |c: &Candidate| (c.tried, c.avoided_for);
+    let best_rank = candidates.iter().map(rank).min()?;
+    let min_cost =
+        candidates.iter().filter(|c| rank(c) == best_rank).map(|c| c.cost).fold(f64::MAX, f64::min);
+    let max_cost = min_cost + (min_cost * RELATIVE_COST_TOLERANCE).max(tolerance).max(f64::EPSILON);
+    let cheapest: Vec<_> =
+        candidates.iter().filter(|c| rank(c) == best_rank && c.cost <= max_cost).collect();
+    Some(cheapest[state.rng.index(cheapest.len())].key)
 }
--- a/crates/basilbank_forward/src/reduce/queue.rs
+++ b/crates/basilbank_forward/src/reduce/queue.rs
@@ -34,19 +34,19 @@
     ctx.state.waiting.clear();
     ctx.state.line.turn = None;
     // Services have separate endpoints, so if one service is full, another may not be.
-    let mut full = HashSet::new();
+    let mut full_services = HashSet::new();
     for (_, id) in order {
         let Some(service) = ctx.state.requests.get(&id).map(|r| r.service.clone()) else {
             continue;
         };
-        if full.contains(&service) {
+        if full_services.contains(&service) {
             ctx.state.waiting.push(id);
             continue;
         }
         step::proceed(ctx, id);
         // It waits again, so there is no capacity for the other completions of its service either.
         if ctx.state.waiting.contains(&id) {
-            full.insert(service);
+            full_services.insert(service);
         }
     }
 }
--- a/crates/basilbank_forward/src/reduce/quota.rs
+++ b/crates/basilbank_forward/src/reduce/quota.rs
@@ -73,14 +73,14 @@
 fn take_charge(
     ctx: &mut Context<'_>,
     id: RequestId,
-    way: fn(&mut Context<'_>, Charge) -> Verdict,
+    method: fn(&mut Context<'_>, Charge) -> Verdict,
 ) -> Verdict {
-    let Some(part) = charge_for(ctx.state, id) else {
+    let Some(charge) = charge_for(ctx.state, id) else {
         set_stage(ctx, id, QuotaStage::Unlimited);
         return Verdict::Allowed;
     };
-    let Charge { team, amount, .. } = part;
-    let verdict = way(ctx, part);
+    let Charge { team, amount, .. } = charge;
+    let verdict = method(ctx, charge);
     if verdict == Verdict::Allowed {
         set_stage(ctx, id, QuotaStage::Taken { amount });
     }
@@ -107,30 +107,30 @@
 }
 
 /// Charges a call, or asks the quota owner.
-fn take_or_ask(ctx: &mut Context<'_>, part: Charge) -> Verdict {
-    let Some(owner) = update_owner(ctx, part.team) else { return take_as_owner(ctx, part) };
-    let used = ctx.state.quotas.used(part.team, ctx.now);
+fn take_or_ask(ctx: &mut Context<'_>, charge: Charge) -> Verdict {
+    let Some(owner) = update_owner(ctx, charge.team) else { return take_as_owner(ctx, charge) };
+    let used = ctx.state.quotas.used(charge.team, ctx.now);
     if ctx.now < used.full_until {
         return Verdict::Refused(used.full_until - ctx.now);
     }
     if used.ask_until <= ctx.now {
         if used.is_doubtful() {
-            return take_from_share(ctx, part);
+            return take_from_share(ctx, charge);
         }
-        used.take(i64::from(part.amount), ctx.now);
+        used.take(i64::from(charge.amount), ctx.now);
         return Verdict::Allowed;
     }
-    ask_owner(ctx, owner, part);
+    ask_owner(ctx, owner, charge);
     Verdict::Pending
 }
 
 /// Charges a call if this daemon is the quota owner.
-fn take_as_owner(ctx: &mut Context<'_>, part: Charge) -> Verdict {
-    let Some(terms) = ctx.state.quota_terms(part.team, ctx.now) else { return Verdict::Allowed };
-    let ask = QuotaAsk { ticket: 0, amount: part.amount };
-    let answer = ctx.state.counters.ask(part.team, &terms, &ask, ctx.now);
-    if ctx.state.counters.is_low(part.team, &terms, ctx.now) {
-        announce_low(ctx, part.team);
+fn take_as_owner(ctx: &mut Context<'_>, charge: Charge) -> Verdict {
+    let Some(terms) = ctx.state.quota_terms(charge.team, ctx.now) else { return Verdict::Allowed };
+    let ask = QuotaAsk { ticket: 0, amount: charge.amount };
+    let answer = ctx.state.counters.ask(charge.team, &terms, &ask, ctx.now);
+    if ctx.state.counters.is_low(charge.team, &terms, ctx.now) {
+        announce_low(ctx, charge.team);
     }
     match answer {
         Answer::Granted => Verdict::Allowed,
@@ -140,24 +140,24 @@
 
 /// Charges a call to this daemon's own share, because the quota owner doesn't answer. The charge is
 /// reported as soon as an owner answers.
-fn take_from_share(ctx: &mut Context<'_>, part: Charge) -> Verdict {
+fn take_from_share(ctx: &mut Context<'_>, charge: Charge) -> Verdict {
     let share = ctx.state.quota_share(ctx.now);
-    let used = ctx.state.quotas.used(part.team, ctx.now);
-    if used.take_share(&part.quota, share, part.amount, ctx.now) {
-        used.take(i64::from(part.amount), ctx.now);
+    let used = ctx.state.quotas.used(charge.team, ctx.now);
+    if used.take_share(&charge.quota, share, charge.amount, ctx.now) {
+        used.take(i64::from(charge.amount), ctx.now);
         return Verdict::Allowed;
     }
-    Verdict::Refused(used.share_opens(&part.quota, share))
+    Verdict::Refused(used.share_opens(&charge.quota, share))
 }
 
-fn ask_owner(ctx: &mut Context<'_>, owner: SocketAddr, part: Charge) {
+fn ask_owner(ctx: &mut Context<'_>, owner: SocketAddr, charge: Charge) {
     let until = ctx.now + ANSWER_TIMEOUT;
-    let asking = Asking { request: part.id, amount: part.amount, at: ctx.now };
+    let asking = Asking { request: charge.id, amount: charge.amount, at: ctx.now };
     let ticket = ctx.state.quotas.ticket(asking);
-    let asks = QuotaAsk { ticket, amount: part.amount };
-    set_stage(ctx, part.id, QuotaStage::Asked { ticket, until });
-    ctx.set_timer(part.id, until);
-    report_usage(ctx, owner, part.team, Some(asks));
+    let query = QuotaAsk { ticket, amount: charge.amount };
+    set_stage(ctx, charge.id, QuotaStage::Asked { ticket, until });
+    ctx.set_timer(charge.id, until);
+    report_usage(ctx, owner, charge.team, Some(query));
 }
 
 /// Reports to the quota owner what was charged, optionally with a query.
@@ -336,8 +336,8 @@
             true => self.counters.tellers(team, now) + 1,
             false => self.peers.count_in_contact(now) + 1,
         };
-        let part = daemons as f64 * self.quota_share(now);
-        Some(Terms { quota, part: part.min(1.0) })
+        let fraction = daemons as f64 * self.quota_share(now);
+        Some(Terms { quota, part: fraction.min(1.0) })
     }
 
     /// Returns the fraction of a quota that this daemon may use if the owner doesn't answer.
--- a/crates/basilbank_forward/src/reduce/records.rs
+++ b/crates/basilbank_forward/src/reduce/records.rs
@@ -103,8 +103,8 @@
 /// endpoint accepts no work any more, although its record says so until it expires, or until the
 /// endpoint, if it is alive, writes it again.
 fn is_leftover(ctx: &Context<'_>, info: &EndpointInfo, source: Source) -> bool {
-    let doubted = ctx.now < ctx.state.directory.doubted;
-    source != Source::Store && doubted && ctx.state.entries.has_ended(info, ctx.now)
+    let is_doubted = ctx.now < ctx.state.directory.doubted;
+    source != Source::Store && is_doubted && ctx.state.entries.has_ended(info, ctx.now)
 }
 
 fn exclude(ctx: &mut Context<'_>, info: EndpointInfo) {
--- a/crates/basilbank_forward/src/reduce/roles.rs
+++ b/crates/basilbank_forward/src/reduce/roles.rs
@@ -120,14 +120,14 @@
 
 fn can_order(state: &State, now: Duration) -> bool {
     let roles = &state.roles;
-    let silent = match roles.right {
+    let has_waited = match roles.right {
         OrderRight::None => return false,
         OrderRight::AtOnce => true,
         OrderRight::AfterSilence => roles.since + ORDER_SILENCE <= now,
     };
-    let fresh = now < state.directory.read_at + MAX_READ_AGE;
-    let settled = roles.grew + MIN_LIST_STABILITY <= now;
-    silent && fresh && settled && state.ready()
+    let is_read_recent = now < state.directory.read_at + MAX_READ_AGE;
+    let is_list_stable = roles.grew + MIN_LIST_STABILITY <= now;
+    has_waited && is_read_recent && is_list_stable && state.ready()
 }
 
 /// Returns whether no call is running, so that several stage changes at once cost nothing.
@@ -146,10 +146,10 @@
         .collect();
     let decode = state.directory.stage(service, Stage::Decode).count();
     let changing = state.directory.stage(service, Stage::Prefill).count() - prefill.len();
-    let all = prefill.len() + decode + changing;
+    let total = prefill.len() + decode + changing;
     let memory = state.routes.engine(service)?.memory;
     let slots = state.directory.service(service).map(|(_, e)| e.info.slots).min()?;
-    let required = ((all as f64 * prefill_fraction(memory, slots)).floor() as usize)
+    let required = ((total as f64 * prefill_fraction(memory, slots)).floor() as usize)
         .max(MIN_PREFILL_ENDPOINTS);
     if prefill.len() <= required {
         return None;
--- a/crates/basilbank_forward/src/reduce/step.rs
+++ b/crates/basilbank_forward/src/reduce/step.rs
@@ -101,18 +101,21 @@
 fn wait_for_permit(ctx: &mut Context<'_>, id: RequestId) {
     let now = ctx.now;
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    let deadline = request.remaining(now) / PERMIT_WAIT_DIVISOR;
+    let max_wait = request.remaining(now) / PERMIT_WAIT_DIVISOR;
     let is_first = request.permit_by.is_none();
-    let by = *request.permit_by.get_or_insert(now + deadline);
-    if by <= now || !call_limit::request_permit(ctx, id, by - now) {
+    let permit_deadline = *request.permit_by.get_or_insert(now + max_wait);
+    if permit_deadline <= now || !call_limit::request_permit(ctx, id, permit_deadline - now) {
         return finish::give_up(ctx, id, Refusal::RateLimited);
     }
     if !ctx.state.permits.waiting.contains(&id) {
         ctx.state.permits.waiting.push(id);
     }
     if is_first {
-        ctx.log_request(id, LogLine::new("waits_for_permit").with_ms("most_ms", by - now));
-        ctx.set_timer(id, by);
+        ctx.log_request(
+            id,
+            LogLine::new("waits_for_permit").with_ms("most_ms", permit_deadline - now),
+        );
+        ctx.set_timer(id, permit_deadline);
     }
 }
 
@@ -128,8 +131,8 @@
     if ctx.state.waiting.contains(&id) && request.patience() <= ctx.now + lead {
         return finish::give_up(ctx, id, Refusal::WaitTimedOut);
     }
-    let asks = matches!(request.quota, QuotaStage::Asked { .. });
-    if asks || ctx.state.permits.waiting.contains(&id) {
+    let awaits_quota = matches!(request.quota, QuotaStage::Asked { .. });
+    if awaits_quota || ctx.state.permits.waiting.contains(&id) {
         return proceed(ctx, id);
     }
     if request.resume_at.is_some_and(|at| at <= ctx.now) {
