--- a/crates/basilbank_forward/src/reduce/call_limit.rs
+++ b/crates/basilbank_forward/src/reduce/call_limit.rs
@@ -105,9 +105,9 @@
     let Some(request) = ctx.state.requests.get(&id) else { return };
     let limits = &ctx.state.call_limits;
     let mut endpoints = ctx.state.directory.service(&request.service);
-    let open = endpoints.any(|(key, _)| limits.get(key).is_none());
+    let has_unlimited = endpoints.any(|(key, _)| limits.get(key).is_none());
     drop(endpoints);
-    if !open && !request.is_completion(ctx.state) {
+    if !has_unlimited && !request.is_completion(ctx.state) {
         return;
     }
     let candidates = ctx.state.endpoints_without_permit(&request.service, ctx.now);
@@ -198,10 +198,10 @@
     }
 }
 
-fn send(ctx: &mut Context<'_>, to: SocketAddr, key: EndpointKey, word: PermitWord, wait: Duration) {
+fn send(ctx: &mut Context<'_>, to: SocketAddr, key: EndpointKey, kind: PermitWord, wait: Duration) {
     let Some(endpoint) = ctx.state.directory.hash(key) else { return };
     let wait = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-    let permit = Permit { endpoint, word: word.into(), wait };
+    let permit = Permit { endpoint, word: kind.into(), wait };
     ctx.send(vec![to], LoadBeat { permits: vec![permit], ..LoadBeat::default() });
 }
 
@@ -228,15 +228,15 @@
         candidates: &[EndpointKey],
         now: Duration,
     ) -> Option<EndpointKey> {
-        let open = candidates.iter().filter(|key| self.permits.is_open(**key, now));
+        let eligible = candidates.iter().filter(|key| self.permits.is_open(**key, now));
         let rate = |key: &EndpointKey| self.call_limits.get(*key).unwrap_or_default();
-        let open: Vec<_> = open.map(|key| (*key, rate(key))).collect();
-        let mut drawn = self.rng.unit() * open.iter().map(|(_, rate)| rate).sum::<f64>();
+        let eligible: Vec<_> = eligible.map(|key| (*key, rate(key))).collect();
+        let mut drawn = self.rng.unit() * eligible.iter().map(|(_, rate)| rate).sum::<f64>();
         let is_drawn = |(_, rate): &&(EndpointKey, f64)| {
             drawn -= rate;
             drawn < 0.0
         };
-        open.iter().find(is_drawn).or(open.first()).map(|(key, _)| *key)
+        eligible.iter().find(is_drawn).or(eligible.first()).map(|(key, _)| *key)
     }
 
     /// Returns whether the call limit of the endpoint allows to send it a call now.
--- a/crates/basilbank_forward/src/reduce/endpoints.rs
+++ b/crates/basilbank_forward/src/reduce/endpoints.rs
@@ -80,12 +80,12 @@
         .collect();
     ctx.state.entries.keep(&listed_now);
     let was_unreachable = was_store_unreachable(ctx) || era_changed;
-    let from = match ctx.now < ctx.state.directory.doubted {
+    let source = match ctx.now < ctx.state.directory.doubted {
         true => records::Source::Restored,
         false => records::Source::Store,
     };
     for info in list {
-        records::handle_record(ctx, info, from);
+        records::handle_record(ctx, info, source);
     }
     for key in missing {
         handle_missing(ctx, key, was_unreachable);
@@ -97,11 +97,11 @@
 pub fn apply_changes(
     ctx: &mut Context<'_>,
     revisions: Revisions,
-    list: Vec<EndpointInfo>,
+    updated: Vec<EndpointInfo>,
     removed: &[String],
 ) {
     let was_unreachable = was_store_unreachable(ctx);
-    for info in list {
+    for info in updated {
         records::handle_record(ctx, info, records::Source::Store);
     }
     for instance in removed {
--- a/crates/basilbank_forward/src/reduce/finish.rs
+++ b/crates/basilbank_forward/src/reduce/finish.rs
@@ -128,8 +128,8 @@
         let min_delay = match (refusal, request) {
             (Refusal::Quarantined, Some(request)) => self.quarantine.left(request.call.digest, now),
             (Refusal::RateLimited, Some(request)) => {
-                let lacking = self.endpoints_without_permit(&request.service, now);
-                Some(self.permits.opens(&lacking).saturating_sub(now))
+                let endpoints = self.endpoints_without_permit(&request.service, now);
+                Some(self.permits.opens(&endpoints).saturating_sub(now))
             }
             (_, Some(request)) => request.come_back,
             _ => None,
--- a/crates/basilbank_forward/src/reduce/freshness.rs
+++ b/crates/basilbank_forward/src/reduce/freshness.rs
@@ -6,9 +6,9 @@
 
 use super::Context;
 
-/// Records that the store answered a query sent at `asked` and has no newer version.
-pub fn record_confirmation(ctx: &mut Context<'_>, asked: Duration) {
-    ctx.state.freshness.prove(asked);
+/// Records that the store answered a query sent at `asked_at` and has no newer version.
+pub fn record_confirmation(ctx: &mut Context<'_>, asked_at: Duration) {
+    ctx.state.freshness.prove(asked_at);
 }
 
 /// Handles a peer's queries and replies.
--- a/crates/basilbank_forward/src/reduce/gossip.rs
+++ b/crates/basilbank_forward/src/reduce/gossip.rs
@@ -88,7 +88,7 @@
         sequence: gossip.sequence,
         heard: now,
         loads,
-        waiting: gossip.waiting.iter().map(|draft| waiting_from_wire(draft, now)).collect(),
+        waiting: gossip.waiting.iter().map(|waiting| waiting_from_wire(waiting, now)).collect(),
         version,
         watching: gossip.watching,
         leaving: gossip.leaving,
@@ -183,9 +183,9 @@
 /// they noticed themselves, and never pass a report on, so that a report ends with its cause.
 fn avoid_reported(ctx: &mut Context<'_>, shunned: &[Shunned]) {
     let now = ctx.now;
-    for entry in shunned {
-        let remaining = Duration::from_millis(u64::from(entry.left)).min(MAX_REPORTED_AVOIDANCE);
-        let key = ctx.state.directory.by_hash(entry.endpoint);
+    for reported in shunned {
+        let remaining = Duration::from_millis(u64::from(reported.left)).min(MAX_REPORTED_AVOIDANCE);
+        let key = ctx.state.directory.by_hash(reported.endpoint);
         if let Some(endpoint) = key.and_then(|key| ctx.state.directory.get_mut(key)) {
             endpoint.avoid(now + remaining);
         }
--- a/crates/basilbank_forward/src/reduce/gossip_send.rs
+++ b/crates/basilbank_forward/src/reduce/gossip_send.rs
@@ -193,8 +193,9 @@
     });
     let shunned: Vec<_> = shunned.collect();
     // The peers' statistics are combined once per service, not once per endpoint.
-    let mut known = HashMap::new();
-    let pace = |service| *known.entry(service).or_insert_with(|| state.growth(service).pace);
+    let mut paces_by_service = HashMap::new();
+    let pace =
+        |service| *paces_by_service.entry(service).or_insert_with(|| state.growth(service).pace);
     let loads: Vec<_> = state.directory.own_loads(now, pace).collect();
     let is_full = scope != Scope::Changes;
     let paces = if is_full { generation_stats(state) } else { Vec::new() };
@@ -349,13 +350,13 @@
 /// Returns the first of this daemon's waiting completions for each service.
 fn waiting_completions(state: &State, now: Duration) -> Vec<WaitingDraft> {
     let soonest = now + state.tuning.lead;
-    let mut first: HashMap<&str, Place> = HashMap::new();
+    let mut first_places: HashMap<&str, Place> = HashMap::new();
     for request in state.waiting.iter().filter_map(|id| state.requests.get(id)) {
         let place = request.place(soonest);
-        let known = first.entry(&request.service).or_insert(place);
-        *known = place.min(*known);
+        let first = first_places.entry(&request.service).or_insert(place);
+        *first = place.min(*first);
     }
-    let all = first.into_iter().map(|(service, place)| WaitingDraft {
+    let all = first_places.into_iter().map(|(service, place)| WaitingDraft {
         service: service_hash(service),
         due: (place.due.as_millis() as i128 - now.as_millis() as i128) as i32,
     });
--- a/crates/basilbank_forward/src/reduce/quota.rs
+++ b/crates/basilbank_forward/src/reduce/quota.rs
@@ -85,8 +85,8 @@
         set_stage(ctx, id, QuotaStage::Taken { amount });
     }
     if verdict != Verdict::Pending {
-        let passes = verdict == Verdict::Allowed;
-        ctx.state.quotas.used(team, ctx.now).judged(amount, passes, ctx.now);
+        let is_allowed = verdict == Verdict::Allowed;
+        ctx.state.quotas.used(team, ctx.now).judged(amount, is_allowed, ctx.now);
     }
     verdict
 }
@@ -141,13 +141,13 @@
 /// Charges a call to this daemon's own share, because the quota owner doesn't answer. The charge is
 /// reported as soon as an owner answers.
 fn take_from_share(ctx: &mut Context<'_>, charge: Charge) -> Verdict {
-    let share = ctx.state.quota_share(ctx.now);
+    let fraction = ctx.state.quota_share(ctx.now);
     let used = ctx.state.quotas.used(charge.team, ctx.now);
-    if used.take_share(&charge.quota, share, charge.amount, ctx.now) {
+    if used.take_share(&charge.quota, fraction, charge.amount, ctx.now) {
         used.take(i64::from(charge.amount), ctx.now);
         return Verdict::Allowed;
     }
-    Verdict::Refused(used.share_opens(&charge.quota, share))
+    Verdict::Refused(used.share_opens(&charge.quota, fraction))
 }
 
 fn ask_owner(ctx: &mut Context<'_>, owner: SocketAddr, charge: Charge) {
@@ -161,12 +161,12 @@
 }
 
 /// Reports to the quota owner what was charged, optionally with a query.
-fn report_usage(ctx: &mut Context<'_>, owner: SocketAddr, team: TeamId, ask: Option<QuotaAsk>) {
+fn report_usage(ctx: &mut Context<'_>, owner: SocketAddr, team: TeamId, query: Option<QuotaAsk>) {
     let used = ctx.state.quotas.used(team, ctx.now);
     used.tell(ctx.now);
     let (epoch, taken, acknowledged) = (used.epoch, used.taken, used.acknowledged);
-    let word = QuotaUse { team: team.0, epoch, taken, acknowledged, ask };
-    ctx.send(vec![owner], LoadBeat { quota_uses: vec![word], ..LoadBeat::default() });
+    let usage = QuotaUse { team: team.0, epoch, taken, acknowledged, ask: query };
+    ctx.send(vec![owner], LoadBeat { quota_uses: vec![usage], ..LoadBeat::default() });
 }
 
 /// Refunds the charge of a call of which nothing was run.
@@ -204,9 +204,9 @@
 }
 
 /// Handles the peers' reports of charges and their queries.
-pub fn handle_uses(ctx: &mut Context<'_>, from: SocketAddr, beat: &LoadBeat) {
-    for word in &beat.quota_uses {
-        let team = TeamId(word.team);
+pub fn handle_uses(ctx: &mut Context<'_>, from: SocketAddr, gossip: &LoadBeat) {
+    for usage in &gossip.quota_uses {
+        let team = TeamId(usage.team);
         // If this daemon considers another one the owner, it doesn't count: otherwise both would
         // give out the quota.
         if ctx.state.quota_owner(team, ctx.now).is_some() {
@@ -215,14 +215,14 @@
         let Some(terms) = ctx.state.quota_terms(team, ctx.now) else { continue };
         let now = ctx.now;
         let counters = &mut ctx.state.counters;
-        counters.tell(team, &terms, (from, beat.incarnation), word, now);
+        counters.tell(team, &terms, (from, gossip.incarnation), usage, now);
         let answer =
-            word.ask.map(|ask| answer_to_wire(&ask, counters.ask(team, &terms, &ask, now)));
-        let counted = Some(QuotaCounted { epoch: word.epoch, taken: word.taken });
-        let low = counters.is_low(team, &terms, now);
-        let state = QuotaState { team: team.0, counted, ask_for: ask_period_ms(low), answer };
+            usage.ask.map(|ask| answer_to_wire(&ask, counters.ask(team, &terms, &ask, now)));
+        let counted = Some(QuotaCounted { epoch: usage.epoch, taken: usage.taken });
+        let is_low = counters.is_low(team, &terms, now);
+        let state = QuotaState { team: team.0, counted, ask_for: ask_period_ms(is_low), answer };
         ctx.send(vec![from], LoadBeat { quota_states: vec![state], ..LoadBeat::default() });
-        if low {
+        if is_low {
             announce_low(ctx, team);
         }
     }
@@ -237,8 +237,8 @@
     QuotaAnswer { ticket: ask.ticket, granted, wait }
 }
 
-fn ask_period_ms(low: bool) -> u32 {
-    let time = if low { counters::ASK_FOR } else { Duration::ZERO };
+fn ask_period_ms(is_low: bool) -> u32 {
+    let time = if is_low { counters::ASK_FOR } else { Duration::ZERO };
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
--- a/crates/basilbank_forward/src/reduce/records.rs
+++ b/crates/basilbank_forward/src/reduce/records.rs
@@ -212,9 +212,9 @@
     state.directory.end_start(key);
     let mut holds = Vec::new();
     for request in state.requests.values_mut() {
-        let draft = &mut request.draft;
-        holds.extend(draft.hold.take_if(|hold| hold.endpoint == key));
-        draft.kv.take_if(|kv| kv.endpoint == key);
+        let completion = &mut request.draft;
+        holds.extend(completion.hold.take_if(|hold| hold.endpoint == key));
+        completion.kv.take_if(|kv| kv.endpoint == key);
     }
     for hold in holds {
         remove_hold_usage(state, &hold);
--- a/crates/basilbank_forward/src/reduce/step.rs
+++ b/crates/basilbank_forward/src/reduce/step.rs
@@ -91,8 +91,9 @@
     if !ctx.state.waiting.contains(&id) {
         ctx.state.waiting.push(id);
     }
-    let draft = ctx.state.requests.get_mut(&id).map(|request| &mut request.draft);
-    let is_first = draft.is_some_and(|draft| !std::mem::replace(&mut draft.waited, true));
+    let completion = ctx.state.requests.get_mut(&id).map(|request| &mut request.draft);
+    let is_first =
+        completion.is_some_and(|completion| !std::mem::replace(&mut completion.waited, true));
     ctx.state.peers.changed |= is_first;
     is_first
 }
