--- a/crates/basilbank_forward/src/reduce/endpoints.rs
+++ b/crates/basilbank_forward/src/reduce/endpoints.rs
@@ -54,8 +54,8 @@
     ctx.state.entries.learn(&table);
     ctx.state.routes = table;
     announce_change(ctx, Topic::Routes, revisions.newest);
-    // The excluded records were read before this version, or belong to a service that it is the
-    // first to name.
+    // Records were excluded if they were read before this version, or if it is the first to name
+    // their service.
     records::reevaluate_excluded(ctx);
 }
 
--- a/crates/basilbank_forward/src/reduce/freshness.rs
+++ b/crates/basilbank_forward/src/reduce/freshness.rs
@@ -1,4 +1,4 @@
-//! Queries to the daemons that watch the store whether there is a newer configuration.
+//! Asks the daemons that watch the store whether there is a newer configuration.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/basilbank_forward/src/reduce/records.rs
+++ b/crates/basilbank_forward/src/reduce/records.rs
@@ -99,8 +99,8 @@
     Some(CurrentStart { key, says, born, addr, draining, was_service_known })
 }
 
-/// Returns whether a record from a backup was already removed before the store was restored. The
-/// endpoint accepts no work any more, although its record says so until it expires, or until the
+/// Returns whether a record from a backup had already been removed when the store was restored. Its
+/// endpoint accepts no work any more, although the record says so until it expires, or until the
 /// endpoint, if it is alive, writes it again.
 fn is_leftover(ctx: &Context<'_>, info: &EndpointInfo, source: Source) -> bool {
     let is_doubted = ctx.now < ctx.state.directory.doubted;
