--- a/crates/basilbank/src/admin/lists.rs
+++ b/crates/basilbank/src/admin/lists.rs
@@ -5,7 +5,7 @@
 use basilbank_core::{
     catalogue::{Endpoint, Entry, Role, Team},
     ids::{DataCentreId, EndpointId, TeamId, VmId},
-    state::{Member, RollStage, State, Target},
+    state::{Member, RolloutStage, ServingTarget, State},
 };
 use basilbank_wire::VmRecord;
 use serde::Serialize;
@@ -142,7 +142,7 @@
     }
     let vms = VmNames::new(state);
     let row = |endpoint: &Endpoint| {
-        let known = state.health.known.get(&endpoint.id);
+        let known = state.health.endpoints.get(&endpoint.id);
         EndpointRow {
             name: endpoint.name.clone(),
             role: role_name(endpoint.role),
@@ -151,12 +151,12 @@
             address: endpoint.address.clone(),
             slots: endpoint.slots,
             held: held.get(&endpoint.id).copied().unwrap_or_default(),
-            busy: state.orders.reports.get(&endpoint.id).map(|s| s.busy),
+            busy: state.orders.reports.get(&endpoint.id).map(|s| s.active_requests),
             steward: vms.steward(state, endpoint.id),
             leaving: endpoint.leaving,
             says_leaving: known.is_some_and(|k| k.leaving),
             failures: known.map_or(0, |k| k.failures),
-            aside: known.is_some_and(|k| k.aside.is_some()),
+            aside: known.is_some_and(|k| k.exclusion.is_some()),
             fencing: endpoint.fencing,
             orders: endpoint.orders,
         }
@@ -195,7 +195,7 @@
             live: state.members.is_live(vm),
             leaving: member.is_some_and(Member::is_leaving),
             incarnation: member.map_or(0, |m| m.incarnation),
-            heartbeat: member.map_or(0, |m| m.counter),
+            heartbeat: member.map_or(0, |m| m.heartbeat_counter),
             own: vm == state.members.own,
         }
     };
@@ -207,7 +207,7 @@
     let vms = VmNames::new(state);
     let takers = state.view.catalogue.endpoints.iter().filter(|e| e.orders);
     let row = |endpoint: &Endpoint| {
-        let target = Target::new(&names.view, endpoint)?;
+        let target = ServingTarget::new(&names.view, endpoint)?;
         let serving = state.orders.reports.get(&endpoint.id);
         Some(OrderRow {
             endpoint: endpoint.name.clone(),
@@ -227,16 +227,16 @@
 }
 
 /// How far an endpoint is on its way to what it should serve. Only its steward knows of a roll.
-fn stage(state: &State, endpoint: EndpointId, target: &Target) -> &'static str {
-    if let Some(roll) = state.orders.rolls.get(&endpoint) {
+fn stage(state: &State, endpoint: EndpointId, target: &ServingTarget) -> &'static str {
+    if let Some(roll) = state.orders.rollouts.get(&endpoint) {
         return match roll.stage {
-            RollStage::Waiting => "waiting",
-            RollStage::Draining { .. } => "draining",
-            RollStage::Ordered { .. } => "ordered",
+            RolloutStage::Waiting => "waiting",
+            RolloutStage::Draining { .. } => "draining",
+            RolloutStage::Ordered { .. } => "ordered",
         };
     }
     let serving = state.orders.reports.get(&endpoint);
-    if serving.is_some_and(|s| s.is_done(target)) { "served" } else { "unknown" }
+    if serving.is_some_and(|s| s.is_on_target(target)) { "served" } else { "unknown" }
 }
 
 fn role_name(role: Role) -> &'static str {
@@ -273,7 +273,7 @@
     }
 
     fn steward(&self, state: &State, endpoint: EndpointId) -> String {
-        let steward = state.members.steward(endpoint.0);
+        let steward = state.members.owner(endpoint.0);
         steward.map_or_else(String::new, |vm| self.vm(vm))
     }
 
--- a/crates/basilbank/src/admin/requests.rs
+++ b/crates/basilbank/src/admin/requests.rs
@@ -53,7 +53,7 @@
 
 /// The requests in progress.
 pub fn in_progress(state: &State, names: &Names) -> Vec<RequestRow> {
-    let now = state.members.presence.last_event;
+    let now = state.members.own_status.last_event;
     state.requests.arena.values().map(|request| row(state, names, request, now)).collect()
 }
 
@@ -94,19 +94,19 @@
         },
         endpoint: endpoint.map_or_else(String::new, |id| names.endpoint(id).to_owned()),
         attempts: request.attempts,
-        prompt: request.prompt_tokens(),
+        prompt: request.prefill_tokens(),
         delivered: request.delivered,
-        age_ms: millis(now.saturating_sub(request.accepted)),
+        age_ms: millis(now.saturating_sub(request.accepted_at)),
         repeatable: request.repeatable,
     }
 }
 
 fn stage_name(stage: AttemptStage) -> &'static str {
     match stage {
-        AttemptStage::Slot => "slot",
-        AttemptStage::Queue => "queue",
+        AttemptStage::WaitingForSlot => "slot",
+        AttemptStage::WaitingForPrefill => "queue",
         AttemptStage::Prefill => "prefill",
-        AttemptStage::Move => "move",
+        AttemptStage::Relocating => "move",
         AttemptStage::Import => "import",
         AttemptStage::Stream => "stream",
         AttemptStage::Plain => "plain",
--- a/crates/basilbank_core/benches/claims/main.rs
+++ b/crates/basilbank_core/benches/claims/main.rs
@@ -73,7 +73,7 @@
             outcome: 1,
             ..KeyRecord::default()
         };
-        table.put(key(i), record, WINDOW + Duration::from_millis(i.into()));
+        table.insert(key(i), record, WINDOW + Duration::from_millis(i.into()));
     }
     let used = resident().saturating_sub(before);
     println!("key_bytes={:.0}", used as f64 / f64::from(KEYS));
@@ -92,11 +92,11 @@
     let mono = fleet.mono;
     for member in fleet.states[0].members.all.values_mut() {
         member.live = true;
-        member.heard = Some(mono);
+        member.last_seen = Some(mono);
     }
-    let presence = &mut fleet.states[0].members.presence;
-    presence.waiting = None;
-    presence.isolated = false;
+    let presence = &mut fleet.states[0].members.own_status;
+    presence.rejoining_since = None;
+    presence.is_isolated = false;
     let now = Now { wall: fleet.now().wall + SINCE, ..fleet.now() };
     let made = now.unix_ms();
     let (from, incarnation) = (vm(1), 1);
@@ -114,7 +114,7 @@
     }
     let micros = start.elapsed().as_secs_f64() * 1e6 / f64::from(VOTES);
     println!("vote_us_members_{members}_lists_{lists}={micros:.2}");
-    let granted = fleet.states[0].claims.table.len();
+    let granted = fleet.states[0].claims.key_table.len();
     println!("vote_granted_members_{members}_lists_{lists}={granted}");
 }
 
--- a/crates/basilbank_core/benches/fleet/centre.rs
+++ b/crates/basilbank_core/benches/fleet/centre.rs
@@ -34,7 +34,7 @@
     let deciding = cores(&world).filter(|s| s.members.may_decide()).count();
     println!("centre.320.deciding={deciding}");
     let again = until(&mut world, LIMIT, |w| {
-        cores(w).all(|s| s.members.census(|m| m.live).heard == LARGEST)
+        cores(w).all(|s| s.members.count_members(|m| m.live).in_contact == LARGEST)
     });
     print_time("centre.320.joined_again_s_max", again);
     let reads = world.platform.calls.iter().skip(10).max().copied().unwrap_or(0);
--- a/crates/basilbank_core/benches/fleet/load.rs
+++ b/crates/basilbank_core/benches/fleet/load.rs
@@ -81,7 +81,7 @@
     println!("{name}.requests_in_progress_max={}", most(|s| s.requests.arena.len()));
     println!("{name}.slots_held_max={}", most(|s| s.slots.own.len()));
     println!("{name}.slots_stewarded_max={}", most(|s| s.slots.ledgers.len()));
-    println!("{name}.limits_used_max={}", most(|s| s.limits.used.len()));
+    println!("{name}.limits_used_max={}", most(|s| s.limits.usages.len()));
     println!("{name}.limits_shared_max={}", most(|s| s.limits.shared.len()));
 }
 
--- a/crates/basilbank_core/benches/fleet/state.rs
+++ b/crates/basilbank_core/benches/fleet/state.rs
@@ -5,7 +5,7 @@
 
 use basilbank_core::{
     prelude::*,
-    state::{Holder, Member, SharedLimit, Store, Usage, View},
+    state::{DocumentStore, Holder, Member, SharedLimit, Usage, View},
 };
 use basilbank_wire::Document;
 
@@ -78,13 +78,13 @@
     Spec { teams: (0..ACCOUNTS).map(team).collect(), ..spec(LARGEST) }
 }
 
-fn documents() -> Store {
+fn documents() -> DocumentStore {
     let document = |i: usize| Document {
         key: format!("catalogue/accounts-{i}"),
         text: Some("x".repeat(SHARD * ACCOUNT_TEXT)),
         revision: 1,
     };
-    let mut store = Store::default();
+    let mut store = DocumentStore::default();
     store.apply(0, 1, (0..ACCOUNTS / SHARD).map(document).collect());
     store
 }
--- a/crates/basilbank_core/src/naive.rs
+++ b/crates/basilbank_core/src/naive.rs
@@ -151,7 +151,7 @@
         let team = self.view.team(&call.key).ok_or(Refusal::UnknownKey)?;
         let entry = match &call.kind {
             CallKind::Completion(draft) => {
-                self.view.draft_entry(team, &draft.model).ok_or(Refusal::UnknownModel)?
+                self.view.completion_entry(team, &draft.model).ok_or(Refusal::UnknownModel)?
             }
             CallKind::Plain(plain) => {
                 let service = self.view.service(&plain.path).ok_or(Refusal::UnknownPath)?;
--- a/crates/basilbank_core/src/reduce.rs
+++ b/crates/basilbank_core/src/reduce.rs
@@ -80,7 +80,7 @@
         Timer::Platform => catalogue::tick(state, now, out),
         Timer::Heartbeat => member::tick(state, now, out),
         Timer::Slots => slots::tick(state, now, out),
-        Timer::Serve(endpoint) => slots::grant_waiting(state, now, endpoint, out),
+        Timer::GrantSlots(endpoint) => slots::grant_waiting(state, now, endpoint, out),
         Timer::Limits => limit::tick(state, now, out),
         Timer::Loads => health::tick(state, now, out),
         Timer::Orders => order::tick(state, now, out),
--- a/crates/basilbank_core/src/reduce/admit.rs
+++ b/crates/basilbank_core/src/reduce/admit.rs
@@ -39,8 +39,8 @@
     let (id, caller) = (request.id, request.caller);
     // A request with a cursor reads an existing stream and runs nothing, so there is no idempotency
     // key to claim.
-    let is_resumed = request.draft.as_ref().is_some_and(|d| d.resume.is_some());
-    let has_idempotency_key = request.idempotency.is_some() && !is_resumed;
+    let is_resumed = request.completion.as_ref().is_some_and(|d| d.resume.is_some());
+    let has_idempotency_key = request.idempotency_key.is_some() && !is_resumed;
     let key = state.requests.insert(request);
     out.push(Effect::Progress(Progress::Accepted { request: id, team, entry }));
     out.push(Effect::Answer { caller, answer: Answer::Accepted { request: id, entry } });
@@ -70,10 +70,10 @@
     let (endpoint, entry) = (EndpointId(record.endpoint), request.entry);
     // Another request runs the call, so this one can't report that nothing was run, whatever
     // happens to it.
-    request.risked = true;
+    request.may_have_run = true;
     request.joined = true;
     request.repeatable = false;
-    if let Some(completion) = &mut request.draft {
+    if let Some(completion) = &mut request.completion {
         completion.resume =
             Some(ResumePoint { endpoint, stream: record.stream.clone(), offset: 0, entry });
     }
@@ -98,13 +98,13 @@
         return Err(Refusal::ShuttingDown);
     }
     let view = &state.view;
-    if !state.documents.currency.current {
+    if !state.documents.freshness.is_fresh {
         return Err(Refusal::NotReady);
     }
     let team = view.team(&call.key).ok_or(Refusal::UnknownKey)?;
     let entry = match &call.kind {
         CallKind::Completion(completion) => {
-            view.draft_entry(team, &completion.model).ok_or(Refusal::UnknownModel)?
+            view.completion_entry(team, &completion.model).ok_or(Refusal::UnknownModel)?
         }
         CallKind::Plain(plain) => {
             let service = view.service(&plain.path).ok_or(Refusal::UnknownPath)?;
@@ -135,20 +135,20 @@
     entry: EntryId,
     tokens: u32,
 ) -> Request {
-    state.requests.counter += 1;
-    let id = RequestId::new(state.local.vm, state.local.incarnation, state.requests.counter);
+    state.requests.accepted_count += 1;
+    let id = RequestId::new(state.local.vm, state.local.incarnation, state.requests.accepted_count);
     let mut request = Request::new(id, &call, team, entry, now.mono);
-    request.taken = tokens;
+    request.limit_tokens = tokens;
     let entry_record = state.view.entry(entry);
     if let Some(class) = entry_record.and_then(|e| state.view.class(e.class)) {
         request.due = now.mono + class.ttft;
-        request.until = request.due + class.wait;
+        request.wait_deadline = request.due + class.wait;
     }
     request.repeatable = call.repeatable.unwrap_or_else(|| match &call.kind {
         CallKind::Completion(_) => true,
         CallKind::Plain(plain) => is_repeatable(plain, state.view.service(&plain.path)),
     });
-    request.draft = into_completion(call.kind);
+    request.completion = into_completion(call.kind);
     request
 }
 
--- a/crates/basilbank_core/src/reduce/affinity.rs
+++ b/crates/basilbank_core/src/reduce/affinity.rs
@@ -21,7 +21,7 @@
     target: EntryTarget,
     completion: &Completion,
 ) -> Option<EndpointId> {
-    let block = state.health.prefixes.first_own(&completion.block_hashes, MAX_BLOCK_HOLDERS)?;
+    let block = state.health.prefixes.first_rare(&completion.block_hashes, MAX_BLOCK_HOLDERS)?;
     let endpoints = state.view.serving(target, Role::Prefill).iter().copied();
     endpoints.max_by_key(|endpoint| rank(VmId(endpoint.0), block))
 }
--- a/crates/basilbank_core/src/reduce/candidates.rs
+++ b/crates/basilbank_core/src/reduce/candidates.rs
@@ -76,7 +76,7 @@
 
 fn find_prefix(state: &State, criteria: &Criteria) -> Prefix {
     let attempt = state.requests.attempts.get(criteria.attempt);
-    let completion = attempt.and_then(|a| state.requests.arena[a.request].draft.as_ref());
+    let completion = attempt.and_then(|a| state.requests.arena[a.request].completion.as_ref());
     let Some(completion) = completion.filter(|_| criteria.role == Role::Prefill) else {
         return Prefix::default();
     };
@@ -108,7 +108,8 @@
 ) -> Option<Duration> {
     let endpoint = state.view.endpoint(id)?;
     let attempt = state.requests.attempts.get(criteria.attempt)?;
-    let was_asked = attempt.asks.iter().any(|a| a.endpoint == id) || attempt.denied.contains(&id);
+    let was_asked =
+        attempt.reservations.iter().any(|a| a.endpoint == id) || attempt.denied.contains(&id);
     if was_asked || !state.health.is_usable(id) || order::is_draining(state, id) {
         return None;
     }
@@ -117,7 +118,7 @@
         cost += OTHER_DATA_CENTRE_PENALTY;
     }
     let request = &state.requests.arena[attempt.request];
-    if request.blamed.contains(&id) {
+    if request.failed_endpoints.contains(&id) {
         cost += FAILED_BEFORE_PENALTY;
     }
     if criteria.role == Role::Prefill {
@@ -144,13 +145,13 @@
 }
 
 fn load_penalty(state: &State, now: Now, endpoint: &Endpoint) -> Duration {
-    let Some(known) = state.health.known.get(&endpoint.id) else { return Duration::ZERO };
-    let full_penalty = if known.full.is_some_and(|until| now.mono < until) {
+    let Some(known) = state.health.endpoints.get(&endpoint.id) else { return Duration::ZERO };
+    let full_penalty = if known.full_until.is_some_and(|until| now.mono < until) {
         FULL_PENALTY
     } else {
         Duration::ZERO
     };
-    let Some((free, at)) = known.free else { return full_penalty };
+    let Some((free, at)) = known.free_slots else { return full_penalty };
     if at + FREE_SLOTS_HINT_TTL < now.mono || endpoint.slots == 0 {
         return full_penalty;
     }
--- a/crates/basilbank_core/src/reduce/catalogue.rs
+++ b/crates/basilbank_core/src/reduce/catalogue.rs
@@ -18,7 +18,7 @@
 use crate::{
     effect::{Effect, Progress},
     reduce::member,
-    state::{Applied, State, Timer},
+    state::{ApplyResult, State, Timer},
     time::Now,
 };
 
@@ -48,18 +48,18 @@
     out: &mut Vec<Effect>,
 ) -> DocumentsStatus {
     match state.documents.store.apply(after, revision, documents) {
-        Applied::Stale => {
+        ApplyResult::Stale => {
             let known = state.documents.store.revision;
             let pairs = vec![("revision", revision.to_string()), ("known", known.to_string())];
             note(out, "documents_stale", pairs);
             DocumentsStatus::Dropped
         }
-        Applied::Gap => DocumentsStatus::Dropped,
-        Applied::Same => DocumentsStatus::Known,
-        Applied::Changed(former) => {
-            state.documents.accepted.changed(former);
+        ApplyResult::Gap => DocumentsStatus::Dropped,
+        ApplyResult::Unchanged => DocumentsStatus::Known,
+        ApplyResult::Changed(former) => {
+            state.documents.accepted.record_changes(former);
             check::tick(state, now, out);
-            state.documents.untold = true;
+            state.documents.unreported = true;
             announce(state, now, out);
             DocumentsStatus::Known
         }
@@ -78,10 +78,10 @@
     }
     let pairs = vec![("revision", list.revision.to_string()), ("vms", list.vms.len().to_string())];
     note(out, "vm_list", pairs);
-    state.members.adopt(&list.vms);
+    state.members.apply_list(&list.vms);
     state.documents.vms = list;
     freshness::start_contact_wait(state, now);
-    state.documents.told = now.mono;
+    state.documents.reported_at = now.mono;
     member::on_vm_list(state, now, out);
     freshness::update(state, now, out);
 }
@@ -89,11 +89,11 @@
 /// Tells a few peers of new revisions at once; heartbeats tell the rest.
 fn announce(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let documents = &mut state.documents;
-    if !documents.untold || now.mono < documents.told + MIN_ANNOUNCE_INTERVAL {
+    if !documents.unreported || now.mono < documents.reported_at + MIN_ANNOUNCE_INTERVAL {
         return;
     }
-    documents.untold = false;
-    documents.told = now.mono;
+    documents.unreported = false;
+    documents.reported_at = now.mono;
     member::push(state, now, out);
 }
 
--- a/crates/basilbank_core/src/reduce/catalogue/check.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/check.rs
@@ -6,7 +6,7 @@
 use crate::{
     catalogue::Catalogue,
     effect::Effect,
-    state::{Check, State, View},
+    state::{CatalogueCheck, State, View},
     time::Now,
 };
 
@@ -20,19 +20,20 @@
     let store = &state.documents.store;
     let accepted = &mut state.documents.accepted;
     if let Some(check) = &accepted.check {
-        if now.mono < check.since + CHECK_TIMEOUT {
+        if now.mono < check.started_at + CHECK_TIMEOUT {
             return;
         }
-        accepted.checked = accepted.checked.min(check.revision.saturating_sub(1));
-        accepted.failed();
+        accepted.checked_revision = accepted.checked_revision.min(check.revision.saturating_sub(1));
+        accepted.check_failed();
     }
-    let is_too_soon = 0 < accepted.checked && now.mono < accepted.asked + MIN_CHECK_INTERVAL;
-    if store.revision <= accepted.checked || is_too_soon {
+    let is_too_soon =
+        0 < accepted.checked_revision && now.mono < accepted.last_check + MIN_CHECK_INTERVAL;
+    if store.revision <= accepted.checked_revision || is_too_soon {
         return;
     }
     let revision = store.revision;
-    accepted.start(Check { revision, since: now.mono, accepted: None });
-    out.push(Effect::CheckCatalogue { revision, documents: store.whole() });
+    accepted.begin_check(CatalogueCheck { revision, started_at: now.mono, accepted: None });
+    out.push(Effect::CheckCatalogue { revision, documents: store.all() });
 }
 
 /// Takes a checked catalogue into force, unless it is older than the one in force.
@@ -48,17 +49,17 @@
     match result {
         Ok(catalogue) if state.view.catalogue.revision < revision => {
             if is_pending {
-                documents.accepted.passed(&documents.store);
+                documents.accepted.check_passed(&documents.store);
             }
             state.view = View::new(catalogue);
-            documents.untold = true;
+            documents.unreported = true;
             note(out, "catalogue_in_force", vec![("revision", revision.to_string())]);
         }
-        Ok(_) if is_pending => documents.accepted.failed(),
+        Ok(_) if is_pending => documents.accepted.check_failed(),
         Ok(_) => {}
         Err(findings) => {
             if is_pending {
-                documents.accepted.failed();
+                documents.accepted.check_failed();
             }
             let pairs =
                 vec![("revision", revision.to_string()), ("findings", findings.to_string())];
--- a/crates/basilbank_core/src/reduce/catalogue/peers.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/peers.rs
@@ -8,7 +8,7 @@
 use crate::{
     effect::Effect,
     ids::VmId,
-    state::{Check, Offer, Shown, State, Wholes},
+    state::{AdvertisedRevision, AdvertisedRevisions, CatalogueCheck, FullTransfers, State},
     time::Now,
 };
 
@@ -25,12 +25,12 @@
     heartbeat: &Heartbeat,
     out: &mut Vec<Effect>,
 ) {
-    let shown = Shown::by(from, heartbeat);
-    state.documents.shown.merge(&shown);
+    let shown = AdvertisedRevisions::from_heartbeat(from, heartbeat);
+    state.documents.advertised.merge(&shown);
     if 0 < heartbeat.confirmed {
         let age = Duration::from_millis(u64::from(heartbeat.confirmed));
         let at = now.mono.saturating_sub(age);
-        state.documents.confirmed = state.documents.confirmed.max(Some(at));
+        state.documents.confirmed_at = state.documents.confirmed_at.max(Some(at));
     }
     fetch_missing(state, now, &shown, out);
     freshness::update(state, now, out);
@@ -38,7 +38,7 @@
 
 /// Asks again for what was not answered.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let shown = state.documents.shown;
+    let shown = state.documents.advertised;
     fetch_missing(state, now, &shown, out);
 }
 
@@ -56,14 +56,14 @@
         if revision <= fetch.after || documents.store.revision == 0 {
             return;
         }
-        CatalogueDelta { after: 0, revision, documents: documents.accepted.whole(&documents.store) }
+        CatalogueDelta { after: 0, revision, documents: documents.accepted.all(&documents.store) }
     } else {
         if documents.store.revision <= fetch.after {
             return;
         }
-        documents.store.since(fetch.after)
+        documents.store.delta_since(fetch.after)
     };
-    if delta.after == 0 && !may_send_full(&mut state.documents.wholes, now) {
+    if delta.after == 0 && !may_send_full(&mut state.documents.full_transfers, now) {
         note(out, "whole_put_off", vec![("vm", from.to_string())]);
         return;
     }
@@ -77,7 +77,7 @@
     delta: CatalogueDelta,
     out: &mut Vec<Effect>,
 ) {
-    state.documents.fetch.since = None;
+    state.documents.fetch.asked_at = None;
     let CatalogueDelta { after, revision, documents } = delta;
     let is_accepted = after == 0
         && revision < state.documents.store.revision
@@ -92,7 +92,11 @@
         return;
     }
     let accepted = Some(documents.clone());
-    state.documents.accepted.start(Check { revision, since: now.mono, accepted });
+    state.documents.accepted.begin_check(CatalogueCheck {
+        revision,
+        started_at: now.mono,
+        accepted,
+    });
     out.push(Effect::CheckCatalogue { revision, documents });
 }
 
@@ -105,37 +109,43 @@
 
 /// A peer sent the VM list.
 pub fn on_peer_vms(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
-    state.documents.vms_fetch.since = None;
+    state.documents.vms_fetch.asked_at = None;
     apply_vm_list(state, now, list, out);
 }
 
-fn fetch_missing(state: &mut State, now: Now, shown: &Shown, out: &mut Vec<Effect>) {
+fn fetch_missing(state: &mut State, now: Now, shown: &AdvertisedRevisions, out: &mut Vec<Effect>) {
     fetch_vms(state, now, shown.vms, out);
     fetch_documents(state, now, shown, out);
 }
 
-fn fetch_vms(state: &mut State, now: Now, offer: Offer, out: &mut Vec<Effect>) {
+fn fetch_vms(state: &mut State, now: Now, offer: AdvertisedRevision, out: &mut Vec<Effect>) {
     let documents = &mut state.documents;
     let after = documents.vms.revision;
-    if offer.revision <= after || !documents.vms_fetch.is_idle(now.mono, FETCH_TIMEOUT) {
+    if offer.revision <= after || !documents.vms_fetch.can_ask(now.mono, FETCH_TIMEOUT) {
         return;
     }
-    documents.vms_fetch.since = Some(now.mono);
+    documents.vms_fetch.asked_at = Some(now.mono);
     send(out, offer.from, Body::FetchVms(FetchVms { after }));
 }
 
 /// Asks for newer documents; when the newest are known and were rejected here, for those that are
 /// in force elsewhere. Two daemons that skipped different revisions of a burst agree by that.
-fn fetch_documents(state: &mut State, now: Now, shown: &Shown, out: &mut Vec<Effect>) {
+fn fetch_documents(
+    state: &mut State,
+    now: Now,
+    shown: &AdvertisedRevisions,
+    out: &mut Vec<Effect>,
+) {
     let documents = &mut state.documents;
-    if !documents.fetch.is_idle(now.mono, FETCH_TIMEOUT) {
+    if !documents.fetch.can_ask(now.mono, FETCH_TIMEOUT) {
         return;
     }
     let known = documents.store.revision;
     let in_force = state.view.catalogue.revision;
     let (newest, accepted) = (shown.documents, shown.catalogue);
-    let is_disputed = accepted.revision <= documents.accepted.disputed;
-    let is_checked = documents.accepted.check.is_none() && documents.accepted.checked == known;
+    let is_disputed = accepted.revision <= documents.accepted.disputed_revision;
+    let is_checked =
+        documents.accepted.check.is_none() && documents.accepted.checked_revision == known;
     let (from, fetch) = if known < newest.revision {
         (newest.from, FetchCatalogue { after: known, accepted: false })
     } else if in_force < accepted.revision && is_checked && !is_disputed {
@@ -143,13 +153,13 @@
     } else {
         return;
     };
-    documents.fetch.since = Some(now.mono);
+    documents.fetch.asked_at = Some(now.mono);
     send(out, from, Body::FetchCatalogue(fetch));
 }
 
-fn may_send_full(transfers: &mut Wholes, now: Now) -> bool {
-    if transfers.since + Duration::from_secs(1) <= now.mono {
-        *transfers = Wholes { since: now.mono, sent: 0 };
+fn may_send_full(transfers: &mut FullTransfers, now: Now) -> bool {
+    if transfers.second_start + Duration::from_secs(1) <= now.mono {
+        *transfers = FullTransfers { second_start: now.mono, sent: 0 };
     }
     transfers.sent += 1;
     transfers.sent <= MAX_FULL_TRANSFERS_PER_SECOND
--- a/crates/basilbank_core/src/reduce/catalogue/platform.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/platform.rs
@@ -42,21 +42,21 @@
 /// Reads what is due.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let is_watching = is_watcher(state);
-    if state.documents.list.is_due(now.mono, READ_TIMEOUT)
+    if state.documents.vms_reader.is_due(now.mono, READ_TIMEOUT)
         && (is_watching || needs_vm_list(state, now))
     {
-        state.documents.list.begin(now.mono);
+        state.documents.vms_reader.begin(now.mono);
         out.push(Effect::ReadVms);
     }
-    let is_alone = state.members.presence.listed && state.members.ring().len() < 2;
-    let is_peers_only = now.mono < state.started + PEERS_ONLY_TIME && !is_alone;
+    let is_alone = state.members.own_status.has_list && state.members.listed().len() < 2;
+    let is_peers_only = now.mono < state.started_at + PEERS_ONLY_TIME && !is_alone;
     if is_peers_only && state.documents.store.revision == 0 {
         return;
     }
-    if state.documents.watch.is_due(now.mono, READ_TIMEOUT)
+    if state.documents.catalogue_reader.is_due(now.mono, READ_TIMEOUT)
         && (is_watching || is_unconfirmed(state, now))
     {
-        state.documents.watch.begin(now.mono);
+        state.documents.catalogue_reader.begin(now.mono);
         out.push(Effect::WatchCatalogue { after: state.documents.store.revision });
     }
 }
@@ -71,16 +71,16 @@
     out: &mut Vec<Effect>,
 ) {
     let interval = if is_watcher(state) { MIN_WATCH_INTERVAL } else { own_read_interval(state) };
-    state.documents.watch.answered(now.mono + interval);
+    state.documents.catalogue_reader.record_success(now.mono + interval);
     if apply_documents(state, now, after, revision, documents, out) == DocumentsStatus::Known {
-        state.documents.confirmed = Some(now.mono);
+        state.documents.confirmed_at = Some(now.mono);
     }
 }
 
 /// The platform did not answer.
 pub fn on_documents_failed(state: &mut State, now: Now) {
-    let wait = retry_delay(state, state.documents.watch.failures);
-    state.documents.watch.failed(now.mono + wait);
+    let wait = retry_delay(state, state.documents.catalogue_reader.failures);
+    state.documents.catalogue_reader.record_failure(now.mono + wait);
 }
 
 /// The platform sent the VM list.
@@ -92,15 +92,15 @@
     out: &mut Vec<Effect>,
 ) {
     let interval = if is_watcher(state) { VM_LIST_INTERVAL } else { own_read_interval(state) };
-    state.documents.list.answered(now.mono + interval);
+    state.documents.vms_reader.record_success(now.mono + interval);
     apply_vm_list(state, now, VmList { revision, vms }, out);
     tick(state, now, out);
 }
 
 /// The platform did not send the VM list.
 pub fn on_vms_failed(state: &mut State, now: Now) {
-    let wait = retry_delay(state, state.documents.list.failures);
-    state.documents.list.failed(now.mono + wait);
+    let wait = retry_delay(state, state.documents.vms_reader.failures);
+    state.documents.vms_reader.record_failure(now.mono + wait);
 }
 
 /// Whether this daemon watches the platform: it is among the live members that rank highest for it,
@@ -108,7 +108,7 @@
 /// its peers tell it nothing.
 fn is_watcher(state: &State) -> bool {
     let members = &state.members;
-    if members.presence.listed && !members.all.contains_key(&members.own) {
+    if members.own_status.has_list && !members.all.contains_key(&members.own) {
         return true;
     }
     let mut ranked: Vec<_> =
@@ -131,24 +131,24 @@
 }
 
 fn needs_vm_list(state: &State, now: Now) -> bool {
-    !state.members.presence.listed || is_unconfirmed(state, now)
+    !state.members.own_status.has_list || is_unconfirmed(state, now)
 }
 
 fn is_unconfirmed(state: &State, now: Now) -> bool {
-    let since = state.documents.confirmed.unwrap_or(state.started);
+    let since = state.documents.confirmed_at.unwrap_or(state.started_at);
     CONFIRMATION_TIMEOUT < now.mono.saturating_sub(since)
 }
 
 /// The jittered time between two reads of a daemon that does not watch.
 fn own_read_interval(state: &mut State) -> Duration {
-    let members = u32::try_from(state.members.ring().len()).unwrap_or(u32::MAX);
+    let members = u32::try_from(state.members.listed().len()).unwrap_or(u32::MAX);
     let interval = (FLEET_READ_INTERVAL * members).max(MIN_OWN_READ_INTERVAL);
     interval.mul_f64(0.5 + state.rng.unit())
 }
 
 /// The jittered time until a failed read is tried again.
 fn retry_delay(state: &mut State, failures: u32) -> Duration {
-    if state.members.presence.listed && !is_watcher(state) {
+    if state.members.own_status.has_list && !is_watcher(state) {
         return own_read_interval(state);
     }
     let wait = INITIAL_RETRY_DELAY * 2_u32.saturating_pow(failures.min(8));
--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -14,7 +14,8 @@
     reason::{Outcome, Refusal},
     reduce::{admit, settle},
     state::{
-        Ballot, ClaimKey, ClaimPhase, OwnClaim, Request, Standing, State, Timer, Waited, made_at,
+        ClaimKey, ClaimPhase, ClaimStatus, OwnClaim, Request, State, Timer, VoteWait, Voter,
+        uuid_v7_unix_ms,
     },
     time::Now,
 };
@@ -34,9 +35,9 @@
 /// `settle::refuse` follows, perhaps at once.
 pub fn begin(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.arena.get(key) else { return };
-    let Some(text) = &request.idempotency else { return };
+    let Some(text) = &request.idempotency_key else { return };
     let name = ClaimKey::new(request.team, text);
-    let made = made_at(text);
+    let made = uuid_v7_unix_ms(text);
     let id = request.id;
     let record = KeyRecord {
         request: id.0,
@@ -49,19 +50,19 @@
     let claim = OwnClaim {
         request: key,
         key: name,
-        made,
-        ballots: voters.into_iter().map(Ballot::new).collect(),
+        key_time: made,
+        voters: voters.into_iter().map(Voter::new).collect(),
         phase: ClaimPhase::Asking,
         is_sent: false,
         record,
-        after: 0,
+        predecessor: 0,
         deadline: now.mono + state.local.tuning.peer_timeout * MAX_VOTE_REQUESTS,
-        sent: 0,
-        due: now.mono,
+        send_count: 0,
+        resend_at: now.mono,
     };
     state.claims.own.insert(id, claim);
     request_votes(state, now, id, out);
-    evaluate_votes(state, now, id, Waited::Little, out);
+    evaluate_votes(state, now, id, VoteWait::Pending, out);
 }
 
 /// A voter answered.
@@ -73,15 +74,15 @@
     }
     if claim.phase != ClaimPhase::Asking {
         if vote.verdict() == Verdict::Done {
-            claim.note_told(from);
+            claim.record_ack(from);
             forget_if_confirmed(state, id);
         }
         return;
     }
-    if !claim.awaits(from) {
+    if !claim.is_awaiting(from) {
         return;
     }
-    claim.note_vote(from, vote.verdict(), vote.record.clone());
+    claim.record_vote(from, vote.verdict(), vote.record.clone());
     // A process that was paused finds votes in its socket that are older than the claim's time
     // limit. By then voters that came up in between may have begun to grant the key to others, so
     // such votes no longer add up: the claim ends as it would have without the pause.
@@ -89,25 +90,26 @@
         give_up(state, now, id, out);
         return;
     }
-    evaluate_votes(state, now, id, Waited::Little, out);
+    evaluate_votes(state, now, id, VoteWait::Pending, out);
 }
 
 /// Votes or confirmations did not come in time, or there is something to tell the voters.
 pub fn on_timer(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
-    if now.mono < claim.due {
+    if now.mono < claim.resend_at {
         return;
     }
-    let is_send_done = claim.sent != 0 && (claim.is_told() || MAX_RECORD_SENDS <= claim.sent);
+    let is_send_done =
+        claim.send_count != 0 && (claim.is_acknowledged() || MAX_RECORD_SENDS <= claim.send_count);
     match claim.phase {
         ClaimPhase::Asking if claim.deadline <= now.mono => give_up(state, now, id, out),
         ClaimPhase::Asking => {
-            evaluate_votes(state, now, id, Waited::Enough, out);
+            evaluate_votes(state, now, id, VoteWait::TimedOut, out);
             request_votes(state, now, id, out);
-            evaluate_votes(state, now, id, Waited::Little, out);
+            evaluate_votes(state, now, id, VoteWait::Pending, out);
         }
         ClaimPhase::Held if is_send_done => {
-            claim.renew();
+            claim.reset_acks();
             schedule(state, now, id, renewal_interval(state));
         }
         ClaimPhase::Ending if is_send_done => {
@@ -127,7 +129,8 @@
     }
     // A stream that continues another one lacks the answer's beginning. A repeat that joined it would
     // take its first token for the answer's first: a text that starts in the middle of a sentence.
-    let is_whole = state.requests.current(key).is_some_and(|(_, attempt)| attempt.base == 0);
+    let is_whole =
+        state.requests.current_attempt(key).is_some_and(|(_, attempt)| attempt.base_offset == 0);
     claim.record.endpoint = if is_whole { endpoint.0 } else { 0 };
     claim.record.stream = if is_whole { stream.to_owned() } else { String::new() };
     let id = request.id;
@@ -162,11 +165,11 @@
 /// the first daemon's log silent in between. Called before each event, as any event may lead to
 /// sending.
 pub fn refuse_expired(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    while let Some(&(at, id)) = state.claims.unsent.front() {
+    while let Some(&(at, id)) = state.claims.send_deadlines.front() {
         if now.mono < at {
             return;
         }
-        state.claims.unsent.pop_front();
+        state.claims.send_deadlines.pop_front();
         let Some(claim) = state.claims.own.get(&id) else { continue };
         let key = claim.request;
         if claim.phase == ClaimPhase::Held && !claim.is_sent {
@@ -204,17 +207,17 @@
     let message = Claim {
         key: claim.key.0.to_vec(),
         request: id.0,
-        made: claim.made,
+        made: claim.key_time,
         incarnation: claim.record.incarnation,
         repeatable: claim.record.repeatable,
-        after: claim.after,
+        after: claim.predecessor,
     };
     let own = state.local.vm;
     for vm in voters {
         if vm == own {
             let vote = vote::cast(state, now, own, &message, out);
             if let Some(claim) = state.claims.own.get_mut(&id) {
-                claim.note_vote(own, vote.verdict(), vote.record);
+                claim.record_vote(own, vote.verdict(), vote.record);
             }
         } else {
             out.push(Effect::Send { to: vm, message: Body::Claim(message.clone()).into() });
@@ -228,7 +231,7 @@
     state: &mut State,
     now: Now,
     id: RequestId,
-    waited: Waited,
+    waited: VoteWait,
     out: &mut Vec<Effect>,
 ) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
@@ -236,21 +239,21 @@
         return;
     }
     let key = claim.request;
-    match claim.standing(waited) {
-        Standing::Open if claim.wants_more() => {
+    match claim.status(waited) {
+        ClaimStatus::Undecided if claim.needs_more_voters() => {
             request_votes(state, now, id, out);
             evaluate_votes(state, now, id, waited, out);
         }
-        Standing::Open => {}
-        Standing::Won => {
+        ClaimStatus::Undecided => {}
+        ClaimStatus::Won => {
             claim.phase = ClaimPhase::Held;
-            claim.renew();
+            claim.reset_acks();
             schedule(state, now, id, renewal_interval(state));
             let expires_at = now.mono + state.local.tuning.key_window / 2;
-            state.claims.unsent.push_back((expires_at, id));
+            state.claims.send_deadlines.push_back((expires_at, id));
             admit::on_key_claimed(state, now, key, out);
         }
-        Standing::Lost(record) => {
+        ClaimStatus::Lost(record) => {
             if takeover::reopen_claim(state, now, id, record.as_ref()) {
                 return;
             }
@@ -264,18 +267,18 @@
 fn give_up(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get(&id) else { return };
     let key = claim.request;
-    let standing = claim.standing(Waited::Enough);
+    let standing = claim.status(VoteWait::TimedOut);
     let rival = match &standing {
-        Standing::Lost(record) => record.clone(),
-        Standing::Open | Standing::Won => claim.rival(),
+        ClaimStatus::Lost(record) => record.clone(),
+        ClaimStatus::Undecided | ClaimStatus::Won => claim.competing_record(),
     };
     if takeover::reopen_claim(state, now, id, rival.as_ref()) {
         return;
     }
     publish_outcome(state, id, Outcome::NotRun);
     match standing {
-        Standing::Lost(record) => answer_repeat(state, now, key, record, out),
-        Standing::Open | Standing::Won => {
+        ClaimStatus::Lost(record) => answer_repeat(state, now, key, record, out),
+        ClaimStatus::Undecided | ClaimStatus::Won => {
             settle::refuse(state, now, key, Refusal::KeyUnclaimed, out);
         }
     }
@@ -308,7 +311,7 @@
     ];
     out.push(Effect::Progress(Progress::Note { name: "key_repeated", fields: pairs }));
     let is_whole = record.outcome == 0 || record.outcome == Outcome::Done.code();
-    if request.draft.is_some() && is_whole && !record.stream.is_empty() {
+    if request.completion.is_some() && is_whole && !record.stream.is_empty() {
         admit::join_stream(state, now, key, &record, out);
     } else if record.outcome == 0 {
         settle::refuse(state, now, key, Refusal::KeyRunning, out);
@@ -332,8 +335,8 @@
 /// known.
 fn publish_record(state: &mut State, id: RequestId) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
-    claim.renew();
-    claim.due = Duration::ZERO;
+    claim.reset_acks();
+    claim.resend_at = Duration::ZERO;
     state.timers.set(Duration::ZERO, Timer::Claim(id));
 }
 
@@ -342,11 +345,11 @@
     let own = state.local.vm;
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     let message = Settle { key: claim.key.0.to_vec(), record: Some(claim.record.clone()) };
-    let delay = state.local.tuning.peer_timeout * SEND_BACKOFF_FACTOR.pow(claim.sent);
-    claim.sent += 1;
+    let delay = state.local.tuning.peer_timeout * SEND_BACKOFF_FACTOR.pow(claim.send_count);
+    claim.send_count += 1;
     let unconfirmed: Vec<_> =
-        claim.ballots.iter().filter(|b| b.asked && !b.told).map(|b| b.vm).collect();
-    claim.note_told(own);
+        claim.voters.iter().filter(|b| b.asked && !b.acknowledged).map(|b| b.vm).collect();
+    claim.record_ack(own);
     for vm in unconfirmed {
         if vm == own {
             vote::apply_settle(state, now, &message);
@@ -361,8 +364,8 @@
 /// Sets when to ask or tell again.
 fn schedule(state: &mut State, now: Now, id: RequestId, delay: Duration) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
-    claim.due = now.mono + delay;
-    state.timers.set(claim.due, Timer::Claim(id));
+    claim.resend_at = now.mono + delay;
+    state.timers.set(claim.resend_at, Timer::Claim(id));
 }
 
 fn renewal_interval(state: &State) -> Duration {
@@ -371,7 +374,7 @@
 
 fn forget_if_confirmed(state: &mut State, id: RequestId) {
     let claim = state.claims.own.get(&id);
-    if claim.is_some_and(|c| c.phase == ClaimPhase::Ending && c.is_told()) {
+    if claim.is_some_and(|c| c.phase == ClaimPhase::Ending && c.is_acknowledged()) {
         state.claims.own.remove(&id);
     }
 }
--- a/crates/basilbank_core/src/reduce/claim/takeover.rs
+++ b/crates/basilbank_core/src/reduce/claim/takeover.rs
@@ -35,16 +35,16 @@
     if !is_running_without_stream || !earlier.repeatable || !request.repeatable {
         return false;
     }
-    let is_newly_gone = is_gone && claim.after != earlier.request;
-    if !is_newly_gone && request.until < now.mono + RECHECK_INTERVAL {
+    let is_newly_gone = is_gone && claim.predecessor != earlier.request;
+    if !is_newly_gone && request.wait_deadline < now.mono + RECHECK_INTERVAL {
         return false;
     }
-    claim.after = if is_gone { earlier.request } else { 0 };
+    claim.predecessor = if is_gone { earlier.request } else { 0 };
     claim.phase = ClaimPhase::Asking;
-    claim.reopen();
-    claim.due = now.mono + if is_newly_gone { Duration::ZERO } else { RECHECK_INTERVAL };
-    claim.deadline = claim.due + state.local.tuning.peer_timeout * MAX_VOTE_REQUESTS;
-    state.timers.set(claim.due, Timer::Claim(id));
+    claim.reset_votes();
+    claim.resend_at = now.mono + if is_newly_gone { Duration::ZERO } else { RECHECK_INTERVAL };
+    claim.deadline = claim.resend_at + state.local.tuning.peer_timeout * MAX_VOTE_REQUESTS;
+    state.timers.set(claim.resend_at, Timer::Claim(id));
     true
 }
 
--- a/crates/basilbank_core/src/reduce/claim/vote.rs
+++ b/crates/basilbank_core/src/reduce/claim/vote.rs
@@ -21,7 +21,7 @@
 /// A peer tells where a key's request runs or how it ended. The vote that goes back confirms it.
 pub fn on_settle(state: &mut State, now: Now, from: VmId, settle: &Settle, out: &mut Vec<Effect>) {
     let Some(record) = &settle.record else { return };
-    state.claims.table.expire(now.mono);
+    state.claims.key_table.expire(now.mono);
     apply_settle(state, now, settle);
     let vote = Vote {
         key: settle.key.clone(),
@@ -35,12 +35,12 @@
 /// The platform's list may have changed, and with it the keys that this daemon votes on.
 pub fn update_tenure(state: &mut State, now: Now) {
     let window = state.local.tuning.key_window;
-    state.claims.tenure.update(now, window, &state.members);
+    state.claims.voter_history.update(now, window, &state.members);
 }
 
 /// This daemon's vote on a claim by `from`. A key that is granted is remembered.
 pub fn cast(state: &mut State, now: Now, from: VmId, claim: &Claim, out: &mut Vec<Effect>) -> Vote {
-    state.claims.table.expire(now.mono);
+    state.claims.key_table.expire(now.mono);
     let (verdict, record) = match ClaimKey::from_bytes(&claim.key) {
         Some(key) => decide_vote(state, now, from, key, claim, out),
         None => (Verdict::Abstain, None),
@@ -55,11 +55,11 @@
 pub fn apply_settle(state: &mut State, now: Now, settle: &Settle) {
     let Some(key) = ClaimKey::from_bytes(&settle.key) else { return };
     let Some(record) = &settle.record else { return };
-    let known = state.claims.table.get(&key).map(|entry| &entry.record);
+    let known = state.claims.key_table.get(&key).map(|entry| &entry.record);
     let is_same_request = known.is_some_and(|k| k.request == record.request);
     if record.outcome == Outcome::NotRun.code() {
         if is_same_request {
-            state.claims.table.remove(&key);
+            state.claims.key_table.remove(&key);
         }
         return;
     }
@@ -67,7 +67,7 @@
         return;
     }
     let expires = now.mono + state.local.tuning.key_window;
-    state.claims.table.put(key, record.clone(), expires);
+    state.claims.key_table.insert(key, record.clone(), expires);
 }
 
 fn decide_vote(
@@ -78,7 +78,7 @@
     claim: &Claim,
     out: &mut Vec<Effect>,
 ) -> (Verdict, Option<KeyRecord>) {
-    let known = state.claims.table.get(&key).map(|entry| &entry.record);
+    let known = state.claims.key_table.get(&key).map(|entry| &entry.record);
     let takes_over = known.is_some_and(|record| may_take_over(claim, record));
     if let Some(record) = known.filter(|_| !takes_over) {
         let verdict = match record.outcome {
@@ -92,8 +92,8 @@
     if !state.members.may_decide() || !may_grant {
         return (Verdict::Abstain, None);
     }
-    if !takes_over && state.local.tuning.keys <= state.claims.table.len() {
-        let pairs = vec![("keys", state.claims.table.len().to_string())];
+    if !takes_over && state.local.tuning.keys <= state.claims.key_table.len() {
+        let pairs = vec![("keys", state.claims.key_table.len().to_string())];
         out.push(Effect::Progress(Progress::Note { name: "key_table_full", fields: pairs }));
         return (Verdict::Overflow, None);
     }
@@ -104,7 +104,7 @@
         repeatable: claim.repeatable,
         ..KeyRecord::default()
     };
-    state.claims.table.put(key, record, now.mono + state.local.tuning.key_window);
+    state.claims.key_table.insert(key, record, now.mono + state.local.tuning.key_window);
     (Verdict::Granted, None)
 }
 
@@ -121,7 +121,7 @@
 /// its first request may have come and been forgotten. A key from the future has a wrong clock
 /// behind it, so its time says nothing.
 fn would_remember(state: &State, now: Now, key: ClaimKey, made: u64) -> bool {
-    let Some(since) = state.claims.tenure.since(state.local.vm, key.subject()) else {
+    let Some(since) = state.claims.voter_history.voter_since(state.local.vm, key.subject()) else {
         return false;
     };
     let tuning = &state.local.tuning;
--- a/crates/basilbank_core/src/reduce/decode.rs
+++ b/crates/basilbank_core/src/reduce/decode.rs
@@ -19,12 +19,12 @@
 /// Imports the KV cache of an attempt at the decode endpoint that granted it a slot.
 pub fn start_import(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let (Some(slot), Some(cache)) = (found.slot, found.cache.clone()) else { return };
+    let (Some(slot), Some(cache)) = (found.slot, found.kv_cache.clone()) else { return };
     if state.is_leaving(slot.endpoint) {
         return relocate(state, now, attempt, Failure::Leaving, out);
     }
     let found = &mut state.requests.attempts[attempt];
-    found.enter(AttemptStage::Import, now.mono);
+    found.enter_stage(AttemptStage::Import, now.mono);
     let call = prefill::completion_call(state, attempt, slot.endpoint, STREAM_TIMEOUT);
     let timeout = import_timeout(state, attempt);
     state.timers.set(now.mono + timeout, Timer::Attempt(attempt));
@@ -41,10 +41,10 @@
 #[must_use]
 pub fn import_timeout(state: &State, attempt: AttemptKey) -> Duration {
     let Some(found) = state.requests.attempts.get(attempt) else { return TRANSFER_MARGIN };
-    let (Some(slot), Some(cache)) = (found.slot, &found.cache) else { return TRANSFER_MARGIN };
+    let (Some(slot), Some(cache)) = (found.slot, &found.kv_cache) else { return TRANSFER_MARGIN };
     let transfer =
         estimate::transfer_time_between(state, cache.bytes, cache.endpoint, slot.endpoint);
-    let remaining = cache.until.saturating_sub(found.since);
+    let remaining = cache.evicted_at.saturating_sub(found.stage_since);
     let entry = state.requests.arena.get(found.request).map(|r| r.entry);
     let lag = entry.map_or(Duration::ZERO, |e| estimate::lags(state, e).transfer.margin());
     let usual = transfer * 3 / 2 + TRANSFER_MARGIN + lag * 2;
@@ -57,15 +57,15 @@
 /// show the delay.
 pub fn record_transfer_time(state: &mut State, now: Now, attempt: AttemptKey) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let (Some(slot), Some(cache)) = (found.slot, &found.cache) else { return };
+    let (Some(slot), Some(cache)) = (found.slot, &found.kv_cache) else { return };
     if found.stage != AttemptStage::Import {
         return;
     }
     let expected =
         estimate::transfer_time_between(state, cache.bytes, cache.endpoint, slot.endpoint);
-    let took = now.mono.saturating_sub(found.since);
+    let took = now.mono.saturating_sub(found.stage_since);
     let Some(entry) = state.view.entry(state.requests.arena[found.request].entry) else { return };
-    state.health.lags.entry(entry.target).or_default().transfer.add(expected, took);
+    state.health.overruns.entry(entry.target).or_default().transfer.add(expected, took);
 }
 
 /// Looks for another decode endpoint for a KV cache that is still available.
@@ -79,11 +79,11 @@
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let Some(slot) = found.slot.take() else { return };
     let failed_endpoint = slot.endpoint;
-    let source = found.cache.as_ref().map(|c| c.endpoint);
+    let source = found.kv_cache.as_ref().map(|c| c.endpoint);
     if let (Failure::Stalled, Some(source)) = (failure, source) {
         // Both owners are told, because only they see which of the two endpoints has stalled
         // transfers with others as well.
-        let prefill = found.prefill.take();
+        let prefill = found.prefill_slot.take();
         reserve::release_stalled(state, slot, source, out);
         if let Some(prefill) = prefill {
             reserve::release_stalled(state, prefill, failed_endpoint, out);
@@ -93,14 +93,14 @@
     }
     let attempt = reserve::renew_attempt(state, attempt);
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.enter(AttemptStage::Move, now.mono);
+    found.enter_stage(AttemptStage::Relocating, now.mono);
     // Without this, the endpoint that has just failed, and so has a free slot, would be the first
     // to grant one.
     found.denied.push(failed_endpoint);
-    let until = found.cache.as_ref().map_or(now.mono, |c| c.until);
+    let until = found.kv_cache.as_ref().map_or(now.mono, |c| c.evicted_at);
     state.timers.set(until, Timer::Attempt(attempt));
     place::reserve_slots(state, now, attempt, usize::MAX, out);
-    if state.requests.attempts.get(attempt).is_some_and(|a| a.asks.is_empty()) {
+    if state.requests.attempts.get(attempt).is_some_and(|a| a.reservations.is_empty()) {
         retry::on_cache_evicted(state, now, attempt, out);
     }
 }
@@ -119,20 +119,20 @@
     }
     record_transfer_time(state, now, attempt);
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.cache = None;
-    found.enter(AttemptStage::Stream, now.mono);
+    found.kv_cache = None;
+    found.enter_stage(AttemptStage::Stream, now.mono);
     found.stream = Some(stream.clone());
-    found.heard = now.mono;
-    let (request, base, slot) = (found.request, found.base, found.slot);
+    found.last_progress = now.mono;
+    let (request, base, slot) = (found.request, found.base_offset, found.slot);
     // The prefill slot is held until the transfer is complete. If it were released at the end of
     // the prefill, prompts with a cached prefix would fill the endpoint's memory faster than its
     // link can send their KV caches.
-    if let Some(slot) = found.prefill.take() {
+    if let Some(slot) = found.prefill_slot.take() {
         reserve::release(state, slot, out);
     }
     let Some(slot) = slot else { return };
     state.timers.set(now.mono + state.local.tuning.stall, Timer::Attempt(attempt));
-    state.health.entry(slot.endpoint).failures = 0;
+    state.health.endpoint_mut(slot.endpoint).failures = 0;
     let caller = state.requests.arena[request].caller;
     let base_offset = resume_offset(state, attempt) - i64::from(base);
     let answer = Answer::Located { endpoint: slot.endpoint, stream, base_offset };
@@ -144,8 +144,8 @@
 /// cursor.
 fn resume_offset(state: &State, attempt: AttemptKey) -> i64 {
     let found = &state.requests.attempts[attempt];
-    let completion = state.requests.arena[found.request].draft.as_ref();
-    let is_first = found.base == 0;
+    let completion = state.requests.arena[found.request].completion.as_ref();
+    let is_first = found.base_offset == 0;
     let resume = completion.and_then(|d| d.resume.as_ref()).filter(|_| is_first && found.resumed);
     resume.map_or(0, |r| i64::from(r.offset))
 }
--- a/crates/basilbank_core/src/reduce/deliver.rs
+++ b/crates/basilbank_core/src/reduce/deliver.rs
@@ -22,10 +22,10 @@
     if attempt.stage != AttemptStage::Stream {
         return;
     }
-    if attempt.taken < offset {
+    if attempt.next_offset < offset {
         return handle_gap(state, now, key, out);
     }
-    let duplicates = (attempt.taken - offset) as usize;
+    let duplicates = (attempt.next_offset - offset) as usize;
     let request = &mut state.requests.arena[attempt.request];
     if 0 < duplicates {
         let tokens = duplicates.min(texts.len()) as u32;
@@ -36,23 +36,23 @@
         return;
     }
     let count = fresh.len() as u32;
-    attempt.taken += count;
-    attempt.heard = now.mono;
+    attempt.next_offset += count;
+    attempt.last_progress = now.mono;
     attempt.rereads = 0;
     request.failures = 0;
-    if request.first.is_none() {
-        request.first = Some(now.mono);
-        let ttft = now.mono - request.accepted;
+    if request.first_token_at.is_none() {
+        request.first_token_at = Some(now.mono);
+        let ttft = now.mono - request.accepted_at;
         let progress = Progress::FirstToken { request: request.id, entry: request.entry, ttft };
         out.push(Effect::Progress(progress));
         let entry = state.view.entry(request.entry);
         if let (Some(entry), false) = (entry, attempt.resumed) {
-            let lags = state.health.lags.entry(entry.target).or_default();
-            lags.placed.add(attempt.expected, now.mono - attempt.placed);
-            lags.run.add(attempt.expected, now.mono - attempt.run);
+            let lags = state.health.overruns.entry(entry.target).or_default();
+            lags.decode_granted.add(attempt.expected, now.mono - attempt.decode_granted);
+            lags.prefill_started.add(attempt.expected, now.mono - attempt.prefill_started);
         }
     }
-    request.last = Some(now.mono);
+    request.last_token_at = Some(now.mono);
     let answer = Answer::Tokens { offset: request.delivered, texts: fresh };
     request.delivered += count;
     out.push(Effect::Answer { caller: request.caller, answer });
@@ -71,7 +71,7 @@
     if attempt.stage != AttemptStage::Stream {
         return;
     }
-    if attempt.taken < tokens {
+    if attempt.next_offset < tokens {
         return handle_gap(state, now, key, out);
     }
     let (request, slot) = (attempt.request, attempt.slot);
@@ -92,8 +92,8 @@
     let Some(request) = state.requests.remove(key) else { return };
     let answer = Answer::Done {
         reason,
-        prompt_tokens: request.prompt,
-        cached_tokens: request.cached,
+        prompt_tokens: request.prompt_tokens,
+        cached_tokens: request.cached_tokens,
         generated_tokens: request.delivered,
     };
     out.push(Effect::Answer { caller: request.caller, answer });
@@ -110,7 +110,7 @@
 /// still to be read, and it may say that another daemon has taken the stream over. If no more data
 /// arrives, the stall timeout causes the stream to be read again.
 fn handle_gap(state: &mut State, now: Now, key: AttemptKey, out: &mut Vec<Effect>) {
-    if state.members.presence.waiting.is_some() {
+    if state.members.own_status.rejoining_since.is_some() {
         return;
     }
     if state.requests.attempts[key].rereads < resume::MAX_REREADS {
--- a/crates/basilbank_core/src/reduce/estimate.rs
+++ b/crates/basilbank_core/src/reduce/estimate.rs
@@ -5,7 +5,7 @@
 use crate::{
     catalogue::{Endpoint, EntryTarget, ModelSpec, Role},
     ids::{EndpointId, EntryId},
-    state::{Lags, Prefixes, Request, State, View},
+    state::{Overruns, PrefixIndex, Request, State, View},
 };
 
 /// Prefill rate that is assumed if the catalogue gives none.
@@ -17,7 +17,7 @@
 pub fn prefill_time(state: &State, request: &Request) -> Duration {
     let first = first_prefill_endpoint(state, request.entry);
     let rate = first.map_or(DEFAULT_PREFILL_TOKENS_PER_SECOND, prefill_rate_of);
-    Duration::from_secs_f64(f64::from(request.prompt_tokens()) / rate)
+    Duration::from_secs_f64(f64::from(request.prefill_tokens()) / rate)
 }
 
 /// Returns the prefill time of a request at an endpoint that has some of its blocks cached.
@@ -31,14 +31,14 @@
     let rate =
         state.view.endpoint(endpoint).map_or(DEFAULT_PREFILL_TOKENS_PER_SECOND, prefill_rate_of);
     let cached = blocks as u32 * model_of(state, request.entry).map_or(0, |m| m.block_tokens);
-    let fresh = request.prompt_tokens().saturating_sub(cached);
+    let fresh = request.prefill_tokens().saturating_sub(cached);
     Duration::from_secs_f64(f64::from(fresh) / rate)
 }
 
 /// Returns the number of prompt tokens of a request that an endpoint is known to have cached.
 #[must_use]
 pub fn cached_tokens(state: &State, request: &Request, endpoint: EndpointId) -> u32 {
-    let Some(completion) = &request.draft else { return 0 };
+    let Some(completion) = &request.completion else { return 0 };
     let Some(model) = model_of(state, request.entry) else { return 0 };
     let matches = state.health.prefixes.matches(&completion.block_hashes);
     let found = matches.iter().find(|(e, _)| *e == endpoint);
@@ -49,7 +49,7 @@
 /// the end of that block. Both are 0 if there is no such block.
 #[must_use]
 pub fn last_block(view: &View, request: &Request) -> (u64, u32) {
-    let last = request.draft.as_ref().and_then(|d| Prefixes::last(&d.block_hashes));
+    let last = request.completion.as_ref().and_then(|d| PrefixIndex::last_sampled(&d.block_hashes));
     let Some((block, blocks)) = last else { return (0, 0) };
     let target = view.entry(request.entry).map(|e| e.target);
     let model = match target {
@@ -63,7 +63,7 @@
 #[must_use]
 pub fn transfer_time(state: &State, request: &Request) -> Duration {
     let token_bytes = model_of(state, request.entry).map_or(0, |m| m.token_bytes);
-    let bytes = u64::from(request.prompt_tokens()) * token_bytes;
+    let bytes = u64::from(request.prefill_tokens()) * token_bytes;
     let rate = first_prefill_endpoint(state, request.entry).map_or(0, |e| e.link_rate);
     time_on_link(bytes, rate)
 }
@@ -89,9 +89,9 @@
 
 /// Returns by how much the time to first token exceeds its estimate for an entry.
 #[must_use]
-pub fn lags(state: &State, entry: EntryId) -> Lags {
+pub fn lags(state: &State, entry: EntryId) -> Overruns {
     let target = state.view.entry(entry).map(|e| e.target);
-    target.and_then(|t| state.health.lags.get(&t)).copied().unwrap_or_default()
+    target.and_then(|t| state.health.overruns.get(&t)).copied().unwrap_or_default()
 }
 
 fn time_on_link(bytes: u64, rate: u64) -> Duration {
--- a/crates/basilbank_core/src/reduce/health.rs
+++ b/crates/basilbank_core/src/reduce/health.rs
@@ -8,7 +8,7 @@
     event::{EngineReport, Failure},
     ids::{EndpointId, VmId},
     reduce::slots,
-    state::{Aside, Seen, State, Timer},
+    state::{Exclusion, ReportedLoad, State, Timer},
     time::Now,
 };
 
@@ -42,9 +42,9 @@
 ) {
     match report {
         EngineReport::Load { running, age, leaving, .. } => {
-            let known = state.health.entry(endpoint);
+            let known = state.health.endpoint_mut(endpoint);
             known.leaving = *leaving;
-            if known.aside.take_if(|a| a.unreachable).is_some() {
+            if known.exclusion.take_if(|a| a.unreachable).is_some() {
                 known.failures = 0;
                 log_endpoint(endpoint, "endpoint_back", out);
             }
@@ -77,15 +77,15 @@
 ) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     let at = now.mono.saturating_sub(age);
-    ledger.seen = Some(Seen { running, at });
-    if let Some(learning) = &mut ledger.learning {
-        learning.unread = false;
+    ledger.reported_load = Some(ReportedLoad { running, measured_at: at });
+    if let Some(learning) = &mut ledger.rebuild {
+        learning.needs_report = false;
     }
-    ledger.learned();
+    ledger.finish_rebuild();
     // Leases that ended after the measurement were still running at that time, so they are not
     // unaccounted for.
-    let held = ledger.leases.len() as u32 + ledger.ended_since(at);
-    ledger.foreign = running.saturating_sub(held);
+    let held = ledger.leases.len() as u32 + ledger.leases_ended_since(at);
+    ledger.unaccounted = running.saturating_sub(held);
 }
 
 /// Records a failure of an endpoint, and excludes it from new work if necessary.
@@ -97,15 +97,16 @@
     out: &mut Vec<Effect>,
 ) {
     let jitter = 0.5 + 0.5 * state.rng.unit();
-    let known = state.health.entry(endpoint);
+    let known = state.health.endpoint_mut(endpoint);
     match failure {
         Failure::Evicted | Failure::TakenOver => return,
         Failure::Full => {
-            known.full = Some(now.mono + FULL_PAUSE);
+            known.full_until = Some(now.mono + FULL_PAUSE);
             return;
         }
         Failure::Leaving => {
-            known.aside = Some(Aside { until: now.mono + LEAVING_EXCLUSION, unreachable: true });
+            known.exclusion =
+                Some(Exclusion { until: now.mono + LEAVING_EXCLUSION, unreachable: true });
             return;
         }
         // One end of a transfer can't tell which of the two is at fault: see `on_transfer_stalled`.
@@ -113,13 +114,13 @@
         Failure::Unreachable => known.failures = (known.failures + 1).max(EXCLUSION_THRESHOLD),
         Failure::Refused | Failure::Broken => known.failures += 1,
     }
-    if known.failures < EXCLUSION_THRESHOLD || known.aside.is_some_and(|a| now.mono < a.until) {
+    if known.failures < EXCLUSION_THRESHOLD || known.exclusion.is_some_and(|a| now.mono < a.until) {
         return;
     }
     let doubled =
         MIN_EXCLUSION * 2u32.saturating_pow((known.failures - EXCLUSION_THRESHOLD).min(16));
     let until = now.mono + doubled.min(MAX_EXCLUSION).mul_f64(jitter);
-    known.aside = Some(Aside { until, unreachable: failure == Failure::Unreachable });
+    known.exclusion = Some(Exclusion { until, unreachable: failure == Failure::Unreachable });
     log_endpoint(endpoint, "endpoint_aside", out);
 }
 
@@ -139,15 +140,15 @@
 ) {
     let is_small_fleet = state.members.candidates().len() < 2;
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-    if !ledger.note_stall(now.mono, from, other, is_small_fleet) {
+    if !ledger.record_stall(now.mono, from, other, is_small_fleet) {
         return;
     }
-    let known = state.health.entry(endpoint);
-    let is_repeated = now.mono < known.rested + STALL_COUNT_RESET;
+    let known = state.health.endpoint_mut(endpoint);
+    let is_repeated = now.mono < known.stall_until + STALL_COUNT_RESET;
     known.stalls = if is_repeated { (known.stalls + 1).min(MAX_STALL_COUNT) } else { 1 };
     let exclusion = MIN_STALL_EXCLUSION * 2u32.pow(known.stalls - 1);
-    known.rested = now.mono + exclusion;
-    known.aside = Some(Aside { until: known.rested, unreachable: false });
+    known.stall_until = now.mono + exclusion;
+    known.exclusion = Some(Exclusion { until: known.stall_until, unreachable: false });
     log_endpoint(endpoint, "endpoint_aside", out);
 }
 
@@ -165,8 +166,8 @@
     let mut read: Vec<_> =
         state.slots.ledgers.keys().copied().filter(|e| has_load_report(*e)).collect();
     let mut reinstated = Vec::new();
-    for (endpoint, known) in &state.health.known {
-        let Some(aside) = known.aside.filter(|a| a.until <= now.mono) else { continue };
+    for (endpoint, known) in &state.health.endpoints {
+        let Some(aside) = known.exclusion.filter(|a| a.until <= now.mono) else { continue };
         if aside.unreachable && has_load_report(*endpoint) {
             read.push(*endpoint);
         } else {
@@ -181,7 +182,7 @@
     // Not every exclusion can be ended by a load report; plain services, for example, have none.
     // There the next call is the probe: if it fails, the endpoint is excluded for twice as long.
     for endpoint in reinstated {
-        state.health.entry(endpoint).aside = None;
+        state.health.endpoint_mut(endpoint).exclusion = None;
         log_endpoint(endpoint, "endpoint_back", out);
     }
 }
--- a/crates/basilbank_core/src/reduce/limit.rs
+++ b/crates/basilbank_core/src/reduce/limit.rs
@@ -36,14 +36,14 @@
 ) -> Result<(), Refusal> {
     let Some(limits) = limits(state, entry) else { return Ok(()) };
     let own_share = own_share(state, &limits);
-    let usage = state.limits.used.entry(entry);
+    let usage = state.limits.usages.entry(entry);
     let usage = usage.or_insert_with(|| Usage::new(&own_share, now.mono));
-    usage.want(tokens, now.mono);
-    usage.expire(now.mono);
+    usage.record_call(tokens, now.mono);
+    usage.expire_lease(now.mono);
     holder::request_first_lease(state, now, entry, out);
     let can_report = can_report(state, entry);
-    let Some(usage) = state.limits.used.get_mut(&entry) else { return Ok(()) };
-    let is_trusted = !usage.is_dense(now.mono) || now.mono < usage.trusted;
+    let Some(usage) = state.limits.usages.get_mut(&entry) else { return Ok(()) };
+    let is_trusted = !usage.is_frequent(now.mono) || now.mono < usage.trusted_until;
     let mut is_reported = usage.lease.is_none() && can_report && is_trusted;
     if !is_reported {
         let share = usage.lease.map_or(own_share, |(share, _)| share);
@@ -51,7 +51,7 @@
         is_reported = usage.lease.is_none();
         if let Err(refusal) = taken {
             let is_burst = refusal != Refusal::ConcurrentLimit && usage.lease.is_some();
-            if !is_burst || !usage.ample || !can_report {
+            if !is_burst || !usage.is_ample || !can_report {
                 holder::request_more(state, now, entry, out);
                 return Err(refusal);
             }
@@ -60,11 +60,11 @@
     }
     usage.running += 1;
     if is_reported {
-        usage.untold_requests += 1;
-        usage.untold_tokens += i64::from(tokens);
+        usage.unreported_requests += 1;
+        usage.unreported_tokens += i64::from(tokens);
         return holder::report_taken(state, now, entry, out);
     }
-    if usage.is_hungry(&limits) {
+    if usage.needs_more(&limits) {
         holder::request_more(state, now, entry, out);
     }
     Ok(())
@@ -72,9 +72,9 @@
 
 /// Gives back what an ended request took but did not use.
 pub fn give_back(state: &mut State, now: Now, entry: EntryId, unused: u32) {
-    if let Some(usage) = state.limits.used.get_mut(&entry) {
+    if let Some(usage) = state.limits.usages.get_mut(&entry) {
         usage.give_back(unused);
-        usage.touched = now.mono;
+        usage.last_used = now.mono;
     }
 }
 
@@ -101,7 +101,7 @@
     out: &mut Vec<Effect>,
 ) {
     let entry = EntryId(lease.entry);
-    let asked = state.limits.used.get(&entry).and_then(|usage| usage.asked);
+    let asked = state.limits.usages.get(&entry).and_then(|usage| usage.last_asked);
     if asked.is_none_or(|(vm, _)| vm != from) {
         return;
     }
@@ -113,17 +113,17 @@
 /// Takes a steward's answer over, and gives the refusal that it may be.
 fn apply_lease(state: &mut State, now: Now, lease: &LimitLease) -> Option<Refusal> {
     let chance = state.rng.unit();
-    let usage = state.limits.used.get_mut(&EntryId(lease.entry))?;
+    let usage = state.limits.usages.get_mut(&EntryId(lease.entry))?;
     let until = now.mono + Duration::from_millis(u64::from(lease.ttl));
-    let share = LimitShare::of(lease);
+    let share = LimitShare::from_lease(lease);
     let refusal = match lease.answer() {
         LimitAnswer::Leased | LimitAnswer::Ample => {
             usage.set_lease(share, until, now.mono);
-            usage.ample = lease.answer() == LimitAnswer::Ample;
+            usage.is_ample = lease.answer() == LimitAnswer::Ample;
             return None;
         }
         LimitAnswer::Trusted => {
-            usage.trusted = until;
+            usage.trusted_until = until;
             usage.lease = None;
             return None;
         }
@@ -150,17 +150,17 @@
 ) {
     let window = state.local.tuning.peer_timeout;
     let recent = state.requests.arena.iter().filter(|(_, r)| {
-        r.entry == entry && now.mono.saturating_sub(r.accepted) <= window && !r.is_limited
+        r.entry == entry && now.mono.saturating_sub(r.accepted_at) <= window && !r.limit_refused
     });
-    let recent: Vec<_> = recent.map(|(key, request)| (key, request.taken)).collect();
+    let recent: Vec<_> = recent.map(|(key, request)| (key, request.limit_tokens)).collect();
     for (key, tokens) in recent {
-        state.requests.arena[key].is_limited = true;
+        state.requests.arena[key].limit_refused = true;
         let is_unsent = is_unsent(state, key);
-        let Some(usage) = state.limits.used.get_mut(&entry) else { return };
+        let Some(usage) = state.limits.usages.get_mut(&entry) else { return };
         if is_unsent {
             settle::refuse(state, now, key, refusal, out);
         } else {
-            usage.owe(tokens);
+            usage.overdraw(tokens);
         }
     }
 }
@@ -171,7 +171,7 @@
         RequestStage::Waiting => true,
         RequestStage::Running(attempt) => {
             let stage = state.requests.attempts.get(attempt).map(|a| a.stage);
-            matches!(stage, Some(AttemptStage::Slot | AttemptStage::Queue))
+            matches!(stage, Some(AttemptStage::WaitingForSlot | AttemptStage::WaitingForPrefill))
         }
     }
 }
@@ -185,12 +185,14 @@
 
 /// This daemon's part of an entry's limits when nobody can be asked.
 fn own_share(state: &State, limits: &Limits) -> LimitShare {
-    let listed = state.members.ring().len().max(1);
+    let listed = state.members.listed().len().max(1);
     LimitShare::fraction(limits, 1.0 / listed as f64)
 }
 
 /// Whether there is a steward who would refuse if the limit were used up.
 fn can_report(state: &State, entry: EntryId) -> bool {
-    let presence = &state.members.presence;
-    presence.listed && presence.waiting.is_none() && state.members.steward(entry.0).is_some()
+    let presence = &state.members.own_status;
+    presence.has_list
+        && presence.rejoining_since.is_none()
+        && state.members.owner(entry.0).is_some()
 }
--- a/crates/basilbank_core/src/reduce/limit/holder.rs
+++ b/crates/basilbank_core/src/reduce/limit/holder.rs
@@ -36,13 +36,13 @@
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + TICK_INTERVAL, Timer::Limits);
     owner::forget_idle(state, now);
-    let entries: Vec<_> = state.limits.used.keys().copied().collect();
+    let entries: Vec<_> = state.limits.usages.keys().copied().collect();
     for entry in entries {
         let limits = limits(state, entry);
-        let Some(usage) = state.limits.used.get_mut(&entry) else { continue };
-        usage.expire(now.mono);
+        let Some(usage) = state.limits.usages.get_mut(&entry) else { continue };
+        usage.expire_lease(now.mono);
         let Some(limits) = limits.filter(|l| !usage.is_idle(l, IDLE_TIMEOUT, now.mono)) else {
-            state.limits.used.remove(&entry);
+            state.limits.usages.remove(&entry);
             continue;
         };
         if is_due(usage, &limits, now) {
@@ -53,20 +53,20 @@
 
 /// Asks before a call is taken: for the first lease, when calls begin to come often.
 pub fn request_first_lease(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
-    let Some(usage) = state.limits.used.get(&entry) else { return };
-    let is_own = state.members.steward(entry.0) == Some(state.local.vm);
-    let is_wanted = usage.lease.is_none() && usage.trusted <= now.mono;
-    if is_own && is_wanted && usage.is_dense(now.mono) {
+    let Some(usage) = state.limits.usages.get(&entry) else { return };
+    let is_own = state.members.owner(entry.0) == Some(state.local.vm);
+    let is_wanted = usage.lease.is_none() && usage.trusted_until <= now.mono;
+    if is_own && is_wanted && usage.is_frequent(now.mono) {
         send_report(state, now, entry, out);
     }
 }
 
 /// Asks for more, unless that was done a moment ago.
 pub fn request_more(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
-    let Some(usage) = state.limits.used.get(&entry) else { return };
+    let Some(usage) = state.limits.usages.get(&entry) else { return };
     let interval =
         if usage.is_rationed() { MIN_INTERVAL_FOR_MORE_RATION } else { MIN_INTERVAL_FOR_MORE };
-    if usage.is_dense(now.mono) && has_passed(usage.asked, interval, now) {
+    if usage.is_frequent(now.mono) && has_passed(usage.last_asked, interval, now) {
         send_report(state, now, entry, out);
     }
 }
@@ -82,27 +82,27 @@
     out: &mut Vec<Effect>,
 ) -> Result<(), Refusal> {
     let Some(refusal) = send_report(state, now, entry, out) else { return Ok(()) };
-    if let Some(usage) = state.limits.used.get_mut(&entry) {
+    if let Some(usage) = state.limits.usages.get_mut(&entry) {
         usage.running -= 1;
     }
     Err(refusal)
 }
 
 fn is_due(usage: &Usage, limits: &Limits, now: Now) -> bool {
-    let is_dense = usage.is_dense(now.mono);
+    let is_dense = usage.is_frequent(now.mono);
     if let Some((_, until)) = usage.lease {
-        let is_used = is_dense || now.mono < usage.touched + RENEWED_IF_USED_WITHIN;
+        let is_used = is_dense || now.mono < usage.last_used + RENEWED_IF_USED_WITHIN;
         return is_used
             && until <= now.mono + RENEWAL_MARGIN
-            && has_passed(usage.asked, MIN_REQUEST_INTERVAL, now);
+            && has_passed(usage.last_asked, MIN_REQUEST_INTERVAL, now);
     }
     let is_wanted = is_dense
-        && now.mono < usage.touched + RENEWAL_MARGIN
-        && has_passed(usage.asked, MIN_REQUEST_INTERVAL, now);
+        && now.mono < usage.last_used + RENEWAL_MARGIN
+        && has_passed(usage.last_asked, MIN_REQUEST_INTERVAL, now);
     let is_running = 0 < usage.running && 0 < limits.concurrent;
     is_wanted
-        || usage.is_untold(limits)
-        || (is_running && has_passed(usage.asked, RUNNING_REPORT_INTERVAL, now))
+        || usage.has_unreported(limits)
+        || (is_running && has_passed(usage.last_asked, RUNNING_REPORT_INTERVAL, now))
 }
 
 fn has_passed(last_request: Option<(VmId, Duration)>, interval: Duration, now: Now) -> bool {
@@ -116,13 +116,13 @@
     entry: EntryId,
     out: &mut Vec<Effect>,
 ) -> Option<Refusal> {
-    let to = state.members.steward(entry.0)?;
-    let usage = state.limits.used.get_mut(&entry)?;
+    let to = state.members.owner(entry.0)?;
+    let usage = state.limits.usages.get_mut(&entry)?;
     let message = new_report(usage, entry, now);
-    usage.asked = Some((to, now.mono));
-    usage.untold_requests = 0;
-    usage.untold_tokens = 0;
-    usage.told_running = usage.running;
+    usage.last_asked = Some((to, now.mono));
+    usage.unreported_requests = 0;
+    usage.unreported_tokens = 0;
+    usage.reported_running = usage.running;
     if to != state.local.vm {
         let message = Message::from(Body::AskLimit(message));
         out.push(Effect::Send { to, message });
@@ -136,15 +136,15 @@
     let mut ask = AskLimit {
         entry: entry.0,
         running: usage.running,
-        taken: usage.untold_requests,
-        taken_tokens: usage.untold_tokens,
+        taken: usage.unreported_requests,
+        taken_tokens: usage.unreported_tokens,
         ..AskLimit::default()
     };
-    if !usage.is_dense(now.mono) && usage.lease.is_none() {
+    if !usage.is_frequent(now.mono) && usage.lease.is_none() {
         return ask;
     }
     let demand: LimitDemand = usage.demand(now.mono);
-    demand.write(&mut ask);
+    demand.write_to(&mut ask);
     if let Some((share, _)) = usage.lease {
         ask.held = (share.requests * 1000.0) as u64;
         ask.held_tokens = share.tokens as u64;
--- a/crates/basilbank_core/src/reduce/limit/owner.rs
+++ b/crates/basilbank_core/src/reduce/limit/owner.rs
@@ -41,29 +41,29 @@
     ask: &AskLimit,
 ) -> Option<LimitLease> {
     let entry = EntryId(ask.entry);
-    let presence = &state.members.presence;
-    if !presence.listed || presence.waiting.is_some() {
+    let presence = &state.members.own_status;
+    if !presence.has_list || presence.rejoining_since.is_some() {
         return None;
     }
     let full_limits = limits(state, entry)?;
     let limits = reachable_limits(state, &full_limits);
     let changed = state.members.changed_at;
-    let listed = state.members.ring().len().max(1) as f64;
+    let listed = state.members.listed().len().max(1) as f64;
     let shared = state.limits.shared.entry(entry);
     let shared = shared.or_insert_with(|| SharedLimit::new(now.mono));
     shared.fill(&limits, now.mono);
-    shared.report(from, LimitDemand::of(ask), ask.running, now.mono);
+    shared.update_holder(from, LimitDemand::from_ask(ask), ask.running, now.mono);
     let is_new = changed <= shared.since && now.mono < changed + TAKEOVER_CAUTION;
     let part = LimitShare::fraction(&full_limits, 1.0 / listed);
     let most = is_new.then(|| cautious_share(ask, &part));
     let (limits, part, most) = (&limits, &part, most.as_ref());
-    let terms = LeaseTerms { vm: from, limits, part, most, mono: now.mono };
+    let terms = LeaseTerms { vm: from, limits, per_vm: part, max_lease: most, mono: now.mono };
     let taken = shared.take(limits, ask.taken, ask.taken_tokens, now.mono);
-    if LimitDemand::of(ask).wants_lease()
+    if LimitDemand::from_ask(ask).wants_lease()
         && let Some(share) = shared.lease(&terms, now.mono + LEASE_TTL + LEASE_GRACE)
     {
         if taken.is_err() {
-            shared.owe(ask.taken, ask.taken_tokens);
+            shared.overdraw(ask.taken, ask.taken_tokens);
         }
         return Some(lease_answer(shared, &terms, entry, &share));
     }
@@ -77,7 +77,8 @@
     entry: EntryId,
     share: &LimitShare,
 ) -> LimitLease {
-    let ttl = if shared.is_short(terms.limits, terms.mono) { SHORT_LEASE_TTL } else { LEASE_TTL };
+    let ttl =
+        if shared.is_nearly_leased(terms.limits, terms.mono) { SHORT_LEASE_TTL } else { LEASE_TTL };
     let is_ample = shared.is_ample(terms.limits, terms.mono);
     let kind = if is_ample { LimitAnswer::Ample } else { LimitAnswer::Leased };
     answer(entry, share, ttl, kind)
@@ -92,7 +93,7 @@
     taken: Result<(), Refusal>,
 ) -> Option<LimitLease> {
     let entry = EntryId(ask.entry);
-    let is_demand_unknown = !LimitDemand::of(ask).wants_lease();
+    let is_demand_unknown = !LimitDemand::from_ask(ask).wants_lease();
     let shortage = shared.shortage(terms.limits, terms.mono);
     let kind = match (taken, shortage) {
         (Err(refusal), _) => refusal_answer(refusal),
@@ -103,7 +104,7 @@
         }
     };
     if is_demand_unknown {
-        shared.report(terms.vm, rare_demand(ask), ask.running, terms.mono);
+        shared.update_holder(terms.vm, rare_demand(ask), ask.running, terms.mono);
     }
     let is_slot_shortage = shortage == Some(Shortage::Slots) || kind == LimitAnswer::NoSlots;
     let ttl = match (is_slot_shortage, is_demand_unknown) {
@@ -117,7 +118,7 @@
 
 fn answer(entry: EntryId, share: &LimitShare, ttl: Duration, answer: LimitAnswer) -> LimitLease {
     let mut lease = LimitLease { entry: entry.0, answer: answer.into(), ..LimitLease::default() };
-    share.write(&mut lease, ttl);
+    share.write_to(&mut lease, ttl);
     lease
 }
 
@@ -146,11 +147,11 @@
 /// The limits by the share of the listed members that are heard: in a partition each side has its
 /// part, so that both together have no more than the whole.
 fn reachable_limits(state: &State, limits: &Limits) -> Limits {
-    let census = state.members.census(|m| m.live);
-    if census.heard == census.of {
+    let census = state.members.count_members(|m| m.live);
+    if census.in_contact == census.total {
         return *limits;
     }
-    let fraction = census.heard as f64 / census.of.max(1) as f64;
+    let fraction = census.in_contact as f64 / census.total.max(1) as f64;
     let share = LimitShare::fraction(limits, fraction);
     let concurrent = if 0 < limits.concurrent { share.concurrent } else { 0 };
     Limits { requests: share.requests, tokens: share.tokens, concurrent, ..*limits }
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -23,14 +23,14 @@
 /// Looks for a pause of this process; comes before each event, since the first thing that a process
 /// reads after a pause may be a request for a slot that is another steward's by now.
 pub fn detect_pause(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let gap = now.mono.saturating_sub(state.members.presence.last_event);
-    state.members.presence.last_event = now.mono;
+    let gap = now.mono.saturating_sub(state.members.own_status.last_event);
+    state.members.own_status.last_event = now.mono;
     if gap <= state.local.tuning.pause {
         return;
     }
-    state.members.shift(gap);
-    state.requests.shift(gap);
-    state.members.presence.waiting =
+    state.members.shift_times(gap);
+    state.requests.shift_times(gap);
+    state.members.own_status.rejoining_since =
         Some(now.mono + state.local.tuning.heartbeat * SETTLE_HEARTBEATS);
     note(out, "paused", vec![("gap_ms", gap.as_millis().to_string())]);
     slots::on_pause(state);
@@ -71,13 +71,13 @@
 ) {
     let epoch = state.members.epoch;
     let rumours = gossip::rumour_rounds(&state.members);
-    state.members.greeted = true;
+    state.members.has_heartbeat = true;
     if let Some(member) = state.members.all.get_mut(&from) {
-        member.counter = member.counter.max(heartbeat.counter);
-        if heartbeat.leaving && !member.says_leaving {
-            member.says_leaving = true;
-            member.rumours = rumours;
-            state.members.changed();
+        member.heartbeat_counter = member.heartbeat_counter.max(heartbeat.counter);
+        if heartbeat.leaving && !member.announced_leaving {
+            member.announced_leaving = true;
+            member.record_sends = rumours;
+            state.members.refresh();
         }
     }
     for seen in &heartbeat.seen {
@@ -117,10 +117,10 @@
 /// This daemon is shutting down: it gives its stewardships up and says so at once.
 pub fn announce_leaving(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     if let Some(own) = state.members.all.get_mut(&state.local.vm) {
-        own.says_leaving = true;
+        own.announced_leaving = true;
     }
     let epoch = state.members.epoch;
-    state.members.changed();
+    state.members.refresh();
     propagate_changes(state, epoch, now, out);
     push(state, now, out);
 }
@@ -135,7 +135,8 @@
     let rumours = gossip::rumour_rounds(&state.members);
     let Some(member) = state.members.all.get(&vm) else { return };
     let is_new_incarnation = member.incarnation < seen.incarnation;
-    let is_newer = seen.incarnation == member.incarnation && member.counter < seen.counter;
+    let is_newer =
+        seen.incarnation == member.incarnation && member.heartbeat_counter < seen.counter;
     if is_new_incarnation || is_newer {
         let last_seen = now.mono.saturating_sub(Duration::from_millis(u64::from(seen.age)));
         record_contact(state, last_seen, vm, seen.incarnation, out);
@@ -144,11 +145,11 @@
     if member.incarnation != seen.incarnation {
         return;
     }
-    member.counter = member.counter.max(seen.counter);
-    if seen.leaving && !member.says_leaving {
-        member.says_leaving = true;
-        member.rumours = rumours;
-        state.members.changed();
+    member.heartbeat_counter = member.heartbeat_counter.max(seen.counter);
+    if seen.leaving && !member.announced_leaving {
+        member.announced_leaving = true;
+        member.record_sends = rumours;
+        state.members.refresh();
     }
 }
 
@@ -162,29 +163,29 @@
 ) {
     let rumours = gossip::rumour_rounds(&state.members);
     let Some(member) = state.members.all.get_mut(&vm) else { return };
-    member.heard = member.heard.max(Some(last_seen));
+    member.last_seen = member.last_seen.max(Some(last_seen));
     let former = member.incarnation;
     if former < incarnation {
         member.incarnation = incarnation;
-        member.counter = 0;
-        member.says_leaving = false;
-        member.mismatched = false;
+        member.heartbeat_counter = 0;
+        member.announced_leaving = false;
+        member.is_mismatched = false;
     }
     if former != 0 && former < incarnation {
-        member.rumours = rumours;
+        member.record_sends = rumours;
     }
     if !member.live {
         mark_live(state, vm, out);
     } else if former != 0 && former < incarnation {
         note(out, "member_restarted", vec![("vm", vm.to_string())]);
-        state.members.changed();
+        state.members.refresh();
     }
 }
 
 fn mark_live(state: &mut State, vm: VmId, out: &mut Vec<Effect>) {
     let Some(member) = state.members.all.get_mut(&vm) else { return };
     member.live = true;
-    state.members.changed();
+    state.members.refresh();
     note(out, "member_up", vec![("vm", vm.to_string())]);
 }
 
@@ -193,7 +194,8 @@
     let timeout = state.local.tuning.dead_after;
     let mut any_dead = false;
     for (vm, member) in state.members.all.iter_mut().filter(|(vm, m)| m.live && **vm != own) {
-        let silence = member.heard.map_or(Duration::MAX, |heard| now.mono.saturating_sub(heard));
+        let silence =
+            member.last_seen.map_or(Duration::MAX, |heard| now.mono.saturating_sub(heard));
         if silence <= timeout {
             continue;
         }
@@ -203,7 +205,7 @@
         note(out, "member_dead", pairs);
     }
     if any_dead {
-        state.members.changed();
+        state.members.refresh();
     }
 }
 
@@ -219,23 +221,25 @@
 /// Judges anew whether this daemon may decide.
 fn update_may_decide(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let could_decide = state.members.may_decide();
-    if let Some(from) = state.members.presence.waiting {
-        let census = state.members.census(|m| m.heard.is_some_and(|heard| from <= heard));
-        if !state.members.presence.listed || census.is_minority() {
+    if let Some(from) = state.members.own_status.rejoining_since {
+        let census =
+            state.members.count_members(|m| m.last_seen.is_some_and(|heard| from <= heard));
+        if !state.members.own_status.has_list || census.is_minority() {
             return;
         }
-        state.members.presence.waiting = None;
+        state.members.own_status.rejoining_since = None;
     }
-    let census = state.members.census(|m| m.live);
+    let census = state.members.count_members(|m| m.live);
     let is_isolated = census.is_minority();
-    if is_isolated != state.members.presence.isolated {
-        state.members.presence.isolated = is_isolated;
-        let pairs = vec![("live", census.heard.to_string()), ("listed", census.of.to_string())];
+    if is_isolated != state.members.own_status.is_isolated {
+        state.members.own_status.is_isolated = is_isolated;
+        let pairs =
+            vec![("live", census.in_contact.to_string()), ("listed", census.total.to_string())];
         note(out, if is_isolated { "isolated" } else { "rejoined" }, pairs);
     }
     if !could_decide && state.members.may_decide() {
-        state.members.presence.since = now.mono;
-        note(out, "recovered", vec![("live", census.heard.to_string())]);
+        state.members.own_status.deciding_since = now.mono;
+        note(out, "recovered", vec![("live", census.in_contact.to_string())]);
         slots::on_members_changed(state, now, out);
     }
 }
--- a/crates/basilbank_core/src/reduce/member/gossip.rs
+++ b/crates/basilbank_core/src/reduce/member/gossip.rs
@@ -34,7 +34,7 @@
 
 /// Sends this round's heartbeats.
 pub fn send_heartbeats(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    state.members.counter += 1;
+    state.members.heartbeat_counter += 1;
     for k in 0..state.local.tuning.fan_out {
         let Some(to) = select_target(state, now, k) else { return };
         send(state, now, to, out);
@@ -83,7 +83,7 @@
 
 /// How many heartbeats carry a member's news: by then all but surely all members have it.
 pub fn rumour_rounds(members: &Members) -> u32 {
-    4 + 2 * members.ring().len().ilog2()
+    4 + 2 * members.listed().len().ilog2()
 }
 
 /// The peer of this round.
@@ -114,7 +114,7 @@
 /// A random listed member that is not live.
 fn pick_dead_peer(state: &mut State) -> Option<VmId> {
     let members = &state.members;
-    let count = members.ring().len().checked_sub(members.live().len()).filter(|c| 0 < *c)?;
+    let count = members.listed().len().checked_sub(members.live().len()).filter(|c| 0 < *c)?;
     let index = state.rng.index(count);
     let mut dead = state.members.all.iter().filter(|(_, m)| !m.live);
     dead.nth(index).map(|(vm, _)| *vm)
@@ -143,17 +143,17 @@
 fn is_recently_seen(state: &State, now: Now, vm: VmId) -> bool {
     let max_silence = state.local.tuning.dead_after.mul_f64(RECENTLY_SEEN_FRACTION);
     let member = state.members.all.get(&vm).filter(|m| m.live);
-    let last_seen = member.and_then(|m| m.heard);
+    let last_seen = member.and_then(|m| m.last_seen);
     last_seen.is_some_and(|last_seen| now.mono.saturating_sub(last_seen) <= max_silence)
 }
 
 fn send(state: &mut State, now: Now, to: VmId, out: &mut Vec<Effect>) {
     let mut heartbeat = new_heartbeat(state);
-    let may_probe = state.members.probed.is_none_or(|at| at + MIN_PROBE_INTERVAL <= now.mono);
+    let may_probe = state.members.probed_at.is_none_or(|at| at + MIN_PROBE_INTERVAL <= now.mono);
     if may_probe && needs_all_records(&state.members) {
-        state.members.probed = Some(now.mono);
+        state.members.probed_at = Some(now.mono);
         heartbeat.probe = true;
-        state.members.all.values_mut().for_each(|m| m.mismatched = false);
+        state.members.all.values_mut().for_each(|m| m.is_mismatched = false);
     }
     add_full_records(&mut state.members, now, &mut heartbeat.seen);
     let summaries = summary::encode(&state.members, now.mono, state.local.tuning.dead_after);
@@ -170,7 +170,7 @@
 
 fn new_heartbeat(state: &State) -> Heartbeat {
     Heartbeat {
-        counter: state.members.counter,
+        counter: state.members.heartbeat_counter,
         catalogue: state.view.catalogue.revision,
         documents: state.documents.store.revision,
         vms: state.documents.vms.revision,
@@ -188,17 +188,18 @@
 /// would be ambiguous.
 fn add_full_records(members: &mut Members, now: Now, records: &mut Vec<Seen>) {
     let own = members.own;
-    let pending = members.all.iter().filter(|(vm, m)| **vm != own && 0 < m.rumours && m.live);
-    let mut pending: Vec<_> = pending.map(|(vm, m)| (std::cmp::Reverse(m.rumours), *vm)).collect();
+    let pending = members.all.iter().filter(|(vm, m)| **vm != own && 0 < m.record_sends && m.live);
+    let mut pending: Vec<_> =
+        pending.map(|(vm, m)| (std::cmp::Reverse(m.record_sends), *vm)).collect();
     pending.sort_unstable();
     pending.truncate(MAX_RECORDS);
     for (_, vm) in &pending {
         let Some(member) = members.all.get_mut(vm) else { continue };
-        member.rumours -= 1;
+        member.record_sends -= 1;
         records.extend(full_record(*vm, member, now));
     }
     let ambiguous = members.all.iter().filter(|(vm, m)| {
-        **vm != own && m.live && m.rumours == 0 && summary::needs_full_record(members, **vm)
+        **vm != own && m.live && m.record_sends == 0 && summary::needs_full_record(members, **vm)
     });
     records.extend(ambiguous.filter_map(|(vm, m)| full_record(*vm, m, now)).take(MAX_RECORDS));
 }
@@ -206,20 +207,20 @@
 /// Whether this daemon must ask for all records: it knows of members that it has no record of, it has
 /// just started, or it is not on others' lists yet, so that nobody sends it heartbeats.
 fn needs_all_records(members: &Members) -> bool {
-    if !members.greeted || !members.is_listed(members.own) {
+    if !members.has_heartbeat || !members.is_listed(members.own) {
         return true;
     }
-    members.all.values().any(|m| m.mismatched || (m.live && m.incarnation == 0))
+    members.all.values().any(|m| m.is_mismatched || (m.live && m.incarnation == 0))
         || members.candidates().iter().all(|vm| *vm == members.own)
 }
 
 fn full_record(vm: VmId, member: &Member, now: Now) -> Option<Seen> {
-    let age = now.mono.saturating_sub(member.heard?).as_millis();
+    let age = now.mono.saturating_sub(member.last_seen?).as_millis();
     (member.incarnation != 0).then_some(Seen {
         vm: vm.0,
         incarnation: member.incarnation,
-        counter: member.counter,
-        leaving: member.says_leaving,
+        counter: member.heartbeat_counter,
+        leaving: member.announced_leaving,
         age: u32::try_from(age).unwrap_or(u32::MAX),
     })
 }
@@ -231,7 +232,7 @@
 
 /// Milliseconds since the platform confirmed the documents, 0 when it never did.
 fn confirmation_age_ms(state: &State) -> u32 {
-    let Some(at) = state.documents.confirmed else { return 0 };
-    let age = state.members.presence.last_event.saturating_sub(at).as_millis();
+    let Some(at) = state.documents.confirmed_at else { return 0 };
+    let age = state.members.own_status.last_event.saturating_sub(at).as_millis();
     u32::try_from(age).unwrap_or(u32::MAX).max(1)
 }
--- a/crates/basilbank_core/src/reduce/member/summary.rs
+++ b/crates/basilbank_core/src/reduce/member/summary.rs
@@ -25,14 +25,14 @@
 
 /// The live members other than this daemon's own, in short form. `dead_after` is the oldest age.
 pub fn encode(members: &Members, mono: Duration, dead_after: Duration) -> Vec<u8> {
-    let mut summaries = Vec::with_capacity(members.ring().len() * ENTRY_BYTES);
+    let mut summaries = Vec::with_capacity(members.listed().len() * ENTRY_BYTES);
     for (vm, member) in members.all.iter().filter(|(vm, _)| **vm != members.own) {
         if !member.live || member.incarnation == 0 || !is_prefix_unique(members, id_prefix(*vm)) {
             continue;
         }
-        let silence = member.heard.map_or(Duration::MAX, |heard| mono.saturating_sub(heard));
+        let silence = member.last_seen.map_or(Duration::MAX, |heard| mono.saturating_sub(heard));
         let Some(age) = encode_age(silence, dead_after) else { continue };
-        let counter = member.counter % COUNTER_MODULUS;
+        let counter = member.heartbeat_counter % COUNTER_MODULUS;
         let low = (u64::from(incarnation_tag(member.incarnation)) << COUNTER_BITS | counter) as u16;
         summaries.extend_from_slice(&id_prefix(*vm).to_be_bytes());
         summaries.extend_from_slice(&(low << AGE_BITS | age).to_be_bytes());
@@ -60,7 +60,7 @@
             continue;
         }
         let silence = dead_after * u32::from(low % AGE_STEPS as u16) / AGE_STEPS;
-        member.heard = member.heard.max(Some(mono.saturating_sub(silence)));
+        member.last_seen = member.last_seen.max(Some(mono.saturating_sub(silence)));
         if !member.live {
             newly_live.push(*vm);
         }
@@ -79,14 +79,14 @@
     if member.incarnation != 0
         && u16::from(incarnation_tag(member.incarnation)) != low >> COUNTER_BITS
     {
-        member.mismatched = true;
+        member.is_mismatched = true;
         return false;
     }
-    let ahead = u64::from(low).wrapping_sub(member.counter) % COUNTER_MODULUS;
+    let ahead = u64::from(low).wrapping_sub(member.heartbeat_counter) % COUNTER_MODULUS;
     if ahead == 0 || COUNTER_MODULUS / 2 <= ahead {
         return false;
     }
-    member.counter += ahead;
+    member.heartbeat_counter += ahead;
     true
 }
 
--- a/crates/basilbank_core/src/reduce/order.rs
+++ b/crates/basilbank_core/src/reduce/order.rs
@@ -15,7 +15,7 @@
     effect::{Effect, EngineCall, Progress},
     event::EngineReport,
     ids::EndpointId,
-    state::{Roll, RollStage, Serving, State, Target, Timer},
+    state::{Rollout, RolloutStage, ServingStatus, ServingTarget, State, Timer},
     time::Now,
 };
 
@@ -31,14 +31,14 @@
 /// that work of its pool could use.
 #[must_use]
 pub fn is_draining(state: &State, endpoint: EndpointId) -> bool {
-    if state.orders.rolls.get(&endpoint).is_some_and(Roll::is_closed) {
+    if state.orders.rollouts.get(&endpoint).is_some_and(Rollout::is_closed) {
         return true;
     }
-    let Some(serving) = state.orders.reports.get(&endpoint).filter(|s| !s.silent) else {
+    let Some(serving) = state.orders.reports.get(&endpoint).filter(|s| !s.unresponsive) else {
         return false;
     };
-    let target = state.view.endpoint(endpoint).and_then(|e| Target::new(&state.view, e));
-    target.is_some_and(|target| !serving.is_useful(&target))
+    let target = state.view.endpoint(endpoint).and_then(|e| ServingTarget::new(&state.view, e));
+    target.is_some_and(|target| !serving.is_usable_for(&target))
 }
 
 /// A report came from an endpoint.
@@ -53,23 +53,23 @@
         EngineReport::Load {
             running, queued, age, version, adapter, fence, model, role, ..
         } => {
-            let serving = Serving {
+            let serving = ServingStatus {
                 model: model.clone(),
                 version: version.clone(),
                 adapter: adapter.clone(),
                 role: *role,
                 fence: *fence,
-                busy: running.saturating_add(*queued),
-                measured: now.mono.saturating_sub(*age),
-                read: now.mono,
-                silent: false,
+                active_requests: running.saturating_add(*queued),
+                measured_at: now.mono.saturating_sub(*age),
+                read_at: now.mono,
+                unresponsive: false,
             };
             state.orders.reports.insert(endpoint, serving);
         }
         EngineReport::NoResponse => {
             let Some(serving) = state.orders.reports.get_mut(&endpoint) else { return };
-            serving.silent = true;
-            serving.read = now.mono;
+            serving.unresponsive = true;
+            serving.read_at = now.mono;
         }
         EngineReport::OrderFenced { fence } => send::on_fenced(state, endpoint, *fence, out),
         EngineReport::OrderAccepted { .. }
@@ -81,7 +81,7 @@
 /// This daemon was paused: another may have been steward of its endpoints and may have ordered there,
 /// so the hold-off towards endpoints that ignore fencing starts again.
 pub fn on_pause(state: &mut State) {
-    state.orders.since.clear();
+    state.orders.owned_since.clear();
 }
 
 /// Looks for orders that are due.
@@ -95,12 +95,12 @@
     let orderable = owned_endpoints(state).filter(|e| e.orders && !e.leaving);
     let owned: BTreeMap<_, _> = orderable.map(|e| (e.id, e.clone())).collect();
     for endpoint in owned.values() {
-        state.orders.since.entry(endpoint.id).or_insert(now.mono);
+        state.orders.owned_since.entry(endpoint.id).or_insert(now.mono);
         check_endpoint(state, now, endpoint, &mut to_read, out);
     }
     let State { orders, view, .. } = state;
-    orders.since.retain(|id, _| owned.contains_key(id));
-    orders.rolls.retain(|id, _| owned.contains_key(id));
+    orders.owned_since.retain(|id, _| owned.contains_key(id));
+    orders.rollouts.retain(|id, _| owned.contains_key(id));
     orders.reports.retain(|id, _| view.endpoint(*id).is_some());
     rollout::read_loads(state, now, to_read, out);
 }
@@ -112,7 +112,7 @@
 /// when a datagram is lost. Its order would load what the operators have replaced. One would see an
 /// endpoint without fencing numbers load an old version after the new one.
 fn is_catalogue_stale(state: &State) -> bool {
-    state.view.catalogue.revision < state.documents.shown.catalogue.revision
+    state.view.catalogue.revision < state.documents.advertised.catalogue.revision
 }
 
 /// The endpoints that this daemon decides on as steward; none while it may not decide.
@@ -129,33 +129,35 @@
     to_read: &mut Vec<EndpointId>,
     out: &mut Vec<Effect>,
 ) {
-    let Some(target) = Target::new(&state.view, endpoint) else { return };
+    let Some(target) = ServingTarget::new(&state.view, endpoint) else { return };
     let Some(serving) = state.orders.reports.get(&endpoint.id) else {
         to_read.push(endpoint.id);
         return;
     };
-    if serving.is_done(&target) {
-        if state.orders.rolls.remove(&endpoint.id).is_some_and(|roll| roll.is_closed()) {
+    if serving.is_on_target(&target) {
+        if state.orders.rollouts.remove(&endpoint.id).is_some_and(|roll| roll.is_closed()) {
             note("order_done", endpoint.id, &target.version, out);
         }
         return;
     }
     let serving = serving.clone();
-    if serving.silent || !send::may_order(state, now, endpoint, &serving) {
+    if serving.unresponsive || !send::may_order(state, now, endpoint, &serving) {
         return;
     }
-    let rolls = &mut state.orders.rolls;
-    let roll = rolls.entry(endpoint.id).or_insert_with(|| Roll::new(target.clone(), now.mono));
+    let rolls = &mut state.orders.rollouts;
+    let roll = rolls.entry(endpoint.id).or_insert_with(|| Rollout::new(target.clone(), now.mono));
     let is_retargeted = roll.target != target;
     roll.target = target;
     match roll.stage {
-        RollStage::Ordered { .. } if is_retargeted => send::issue(state, now, endpoint, 0, out),
-        RollStage::Ordered { sent, due } if due <= now.mono => {
+        RolloutStage::Ordered { .. } if is_retargeted => send::issue(state, now, endpoint, 0, out),
+        RolloutStage::Ordered { sent, resend_at: due } if due <= now.mono => {
             send::reissue(state, now, endpoint, &serving, sent, out);
         }
-        RollStage::Ordered { .. } => {}
-        RollStage::Waiting => start_drain(state, now, endpoint, &serving, to_read, out),
-        RollStage::Draining { empty } => drain(state, now, endpoint, &serving, empty, to_read, out),
+        RolloutStage::Ordered { .. } => {}
+        RolloutStage::Waiting => start_drain(state, now, endpoint, &serving, to_read, out),
+        RolloutStage::Draining { empty_since: empty } => {
+            drain(state, now, endpoint, &serving, empty, to_read, out);
+        }
     }
 }
 
@@ -164,15 +166,15 @@
     state: &mut State,
     now: Now,
     endpoint: &Endpoint,
-    serving: &Serving,
+    serving: &ServingStatus,
     to_read: &mut Vec<EndpointId>,
     out: &mut Vec<Effect>,
 ) {
     if !rollout::may_drain(state, now, endpoint, serving, to_read) {
         return;
     }
-    let Some(roll) = state.orders.rolls.get_mut(&endpoint.id) else { return };
-    roll.enter(RollStage::Draining { empty: None }, now.mono);
+    let Some(roll) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
+    roll.enter_stage(RolloutStage::Draining { empty_since: None }, now.mono);
     note("order_drain", endpoint.id, &roll.target.version, out);
 }
 
@@ -182,25 +184,25 @@
     state: &mut State,
     now: Now,
     endpoint: &Endpoint,
-    serving: &Serving,
+    serving: &ServingStatus,
     empty: Option<Duration>,
     to_read: &mut Vec<EndpointId>,
     out: &mut Vec<Effect>,
 ) {
     let may_drain = rollout::may_drain(state, now, endpoint, serving, to_read);
     let is_empty = is_empty(state, endpoint.id, serving);
-    let Some(roll) = state.orders.rolls.get_mut(&endpoint.id) else { return };
+    let Some(roll) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
     if !may_drain {
-        roll.enter(RollStage::Waiting, now.mono);
+        roll.enter_stage(RolloutStage::Waiting, now.mono);
         return;
     }
-    let is_fresh = roll.since <= serving.measured;
-    let empty = (is_empty && is_fresh).then(|| empty.unwrap_or(serving.measured));
-    roll.stage = RollStage::Draining { empty };
-    if empty.is_some_and(|since| since + MIN_EMPTY_TIME <= serving.measured) {
+    let is_fresh = roll.stage_since <= serving.measured_at;
+    let empty = (is_empty && is_fresh).then(|| empty.unwrap_or(serving.measured_at));
+    roll.stage = RolloutStage::Draining { empty_since: empty };
+    if empty.is_some_and(|since| since + MIN_EMPTY_TIME <= serving.measured_at) {
         send::issue(state, now, endpoint, 0, out);
-    } else if roll.since + SLOW_DRAIN_INTERVAL <= now.mono {
-        roll.since = now.mono;
+    } else if roll.stage_since + SLOW_DRAIN_INTERVAL <= now.mono {
+        roll.stage_since = now.mono;
         note("order_drain_slow", endpoint.id, &roll.target.version, out);
     }
 }
@@ -210,11 +212,11 @@
 /// An order cuts off what runs. A steward that looked at the report alone would order while a request
 /// with a granted slot is on its way; one that looked at its own ledger alone would cut off what
 /// another steward let in.
-fn is_empty(state: &State, endpoint: EndpointId, serving: &Serving) -> bool {
+fn is_empty(state: &State, endpoint: EndpointId, serving: &ServingStatus) -> bool {
     let ledger = state.slots.ledgers.get(&endpoint);
     let is_free =
-        ledger.is_none_or(|l| l.leases.is_empty() && l.waiting.is_empty() && l.learning.is_none());
-    is_free && serving.busy == 0
+        ledger.is_none_or(|l| l.leases.is_empty() && l.waiting.is_empty() && l.rebuild.is_none());
+    is_free && serving.active_requests == 0
 }
 
 fn note(name: &'static str, endpoint: EndpointId, version: &str, out: &mut Vec<Effect>) {
--- a/crates/basilbank_core/src/reduce/order/rollout.rs
+++ b/crates/basilbank_core/src/reduce/order/rollout.rs
@@ -12,7 +12,7 @@
     catalogue::{Endpoint, EntryTarget},
     effect::Effect,
     ids::{EndpointId, ModelId},
-    state::{ModelChange, Serving, State, Target},
+    state::{ModelChange, ServingStatus, ServingTarget, State},
     time::Now,
 };
 
@@ -39,7 +39,7 @@
     state: &State,
     now: Now,
     endpoint: &Endpoint,
-    serving: &Serving,
+    serving: &ServingStatus,
     to_read: &mut Vec<EndpointId>,
 ) -> bool {
     let EntryTarget::Model(model) = endpoint.serves else { return false };
@@ -52,8 +52,8 @@
         );
         return false;
     }
-    let Some(target) = Target::new(&state.view, endpoint) else { return false };
-    if !serving.is_useful(&target) {
+    let Some(target) = ServingTarget::new(&state.view, endpoint) else { return false };
+    if !serving.is_usable_for(&target) {
         return true;
     }
     let ids = state.view.serving(endpoint.serves, endpoint.role);
@@ -90,14 +90,14 @@
     }
     state.orders.revision = catalogue.revision;
     for model in &catalogue.models {
-        let known = state.orders.changes.entry(model.id).or_default();
+        let known = state.orders.model_changes.entry(model.id).or_default();
         if known.version != model.version || known.adapter != model.adapter {
             let (version, adapter) = (model.version.clone(), model.adapter.clone());
-            *known = ModelChange { version, adapter, at: now.mono };
+            *known = ModelChange { version, adapter, seen_at: now.mono };
         }
     }
     let is_known = |id: &ModelId| catalogue.models.iter().any(|m| m.id == *id);
-    state.orders.changes.retain(|id, _| is_known(id));
+    state.orders.model_changes.retain(|id, _| is_known(id));
 }
 
 /// Endpoints of one model that may load at once: as many as fill the weight store's rate, shared with
@@ -107,8 +107,9 @@
     if rate == 0 || endpoint.link_rate == 0 {
         return usize::MAX;
     }
-    let changes = state.orders.changes.values();
-    let changing = changes.filter(|c| now.mono < c.at + MAX_ROLLOUT_TIME).count().max(1) as u64;
+    let changes = state.orders.model_changes.values();
+    let changing =
+        changes.filter(|c| now.mono < c.seen_at + MAX_ROLLOUT_TIME).count().max(1) as u64;
     usize::try_from(rate / endpoint.link_rate / changing).unwrap_or(usize::MAX).max(1)
 }
 
@@ -131,9 +132,9 @@
         if max <= unchanged.len() {
             break;
         }
-        let Some(target) = Target::new(&state.view, endpoint) else { continue };
+        let Some(target) = ServingTarget::new(&state.view, endpoint) else { continue };
         match state.orders.reports.get(&endpoint.id) {
-            Some(serving) if serving.silent || serving.is_done(&target) => {}
+            Some(serving) if serving.unresponsive || serving.is_on_target(&target) => {}
             Some(_) => unchanged.push(endpoint.id),
             None => {
                 unchanged.push(endpoint.id);
@@ -152,12 +153,12 @@
 ) -> Unavailable {
     let mut unavailable = Unavailable { slots: 0, changing: 0 };
     for endpoint in pool.filter(|e| e.id != own.id) {
-        let Some(target) = Target::new(&state.view, endpoint) else { continue };
+        let Some(target) = ServingTarget::new(&state.view, endpoint) else { continue };
         let Some(serving) = state.orders.reports.get(&endpoint.id) else { continue };
-        let is_next = endpoint.orders && endpoint.id < own.id && !serving.is_done(&target);
-        if is_next || !serving.is_useful(&target) {
+        let is_next = endpoint.orders && endpoint.id < own.id && !serving.is_on_target(&target);
+        if is_next || !serving.is_usable_for(&target) {
             unavailable.slots += slots(endpoint);
-            unavailable.changing += usize::from(!serving.silent);
+            unavailable.changing += usize::from(!serving.unresponsive);
         }
     }
     unavailable
@@ -174,7 +175,7 @@
 }
 
 fn last_read(state: &State, endpoint: EndpointId) -> Option<Duration> {
-    state.orders.reports.get(&endpoint).map(|s| s.read)
+    state.orders.reports.get(&endpoint).map(|s| s.read_at)
 }
 
 fn is_report_older(state: &State, now: Now, endpoint: EndpointId, age: Duration) -> bool {
--- a/crates/basilbank_core/src/reduce/order/send.rs
+++ b/crates/basilbank_core/src/reduce/order/send.rs
@@ -7,7 +7,7 @@
     catalogue::{Endpoint, EntryTarget, Role},
     effect::{Effect, EngineCall},
     ids::EndpointId,
-    state::{RollStage, Serving, State},
+    state::{RolloutStage, ServingStatus, State},
     time::Now,
 };
 
@@ -39,12 +39,12 @@
 /// catalogue or list is at work. Where it does not, an order of a former steward that was paused may
 /// still arrive and undo a newer one; a new steward lets that time pass, orders, and reads back.
 #[must_use]
-pub fn may_order(state: &State, now: Now, endpoint: &Endpoint, serving: &Serving) -> bool {
+pub fn may_order(state: &State, now: Now, endpoint: &Endpoint, serving: &ServingStatus) -> bool {
     if endpoint.fencing {
         return serving.fence <= fencing_number(state);
     }
     let hold_off = state.local.tuning.dead_after + MAX_ORDER_TRANSIT;
-    state.orders.since.get(&endpoint.id).is_some_and(|since| *since + hold_off <= now.mono)
+    state.orders.owned_since.get(&endpoint.id).is_some_and(|since| *since + hold_off <= now.mono)
 }
 
 /// An endpoint refused an order: it has seen a higher number.
@@ -52,7 +52,7 @@
     if let Some(serving) = state.orders.reports.get_mut(&endpoint) {
         serving.fence = serving.fence.max(fence);
     }
-    if let Some(roll) = state.orders.rolls.remove(&endpoint) {
+    if let Some(roll) = state.orders.rollouts.remove(&endpoint) {
         note("order_fenced", endpoint, &roll.target.version, out);
     }
 }
@@ -62,9 +62,9 @@
     let fence = fencing_number(state);
     let delay =
         INITIAL_RESEND_DELAY.saturating_mul(2u32.saturating_pow(sent)).min(MAX_RESEND_DELAY);
-    let Some(roll) = state.orders.rolls.get_mut(&endpoint.id) else { return };
+    let Some(roll) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
     let due = now.mono + delay;
-    roll.enter(RollStage::Ordered { sent: sent + 1, due }, now.mono);
+    roll.enter_stage(RolloutStage::Ordered { sent: sent + 1, resend_at: due }, now.mono);
     let target = &roll.target;
     let name = if sent == 0 { "order_sent" } else { "order_sent_again" };
     note(name, endpoint.id, &target.version, out);
@@ -84,19 +84,19 @@
     state: &mut State,
     now: Now,
     endpoint: &Endpoint,
-    serving: &Serving,
+    serving: &ServingStatus,
     sent: u32,
     out: &mut Vec<Effect>,
 ) {
     let timeout = max_load_time(state, endpoint).saturating_mul(2u32.saturating_pow(sent - 1));
-    let Some(roll) = state.orders.rolls.get(&endpoint.id) else { return };
+    let Some(roll) = state.orders.rollouts.get(&endpoint.id) else { return };
     if serving.version.is_empty() {
-        if now.mono < roll.since + timeout {
+        if now.mono < roll.stage_since + timeout {
             return;
         }
         note("order_load_stuck", endpoint.id, &roll.target.version, out);
     } else if !is_empty(state, endpoint.id, serving)
-        || serving.measured < roll.since + MIN_EMPTY_TIME
+        || serving.measured_at < roll.stage_since + MIN_EMPTY_TIME
     {
         return;
     }
--- a/crates/basilbank_core/src/reduce/place.rs
+++ b/crates/basilbank_core/src/reduce/place.rs
@@ -42,13 +42,18 @@
     if request.stage != RequestStage::Waiting {
         return;
     }
-    if request.draft.as_ref().is_some_and(|d| d.resume.is_some()) && request.attempts == 0 {
+    if request.completion.as_ref().is_some_and(|d| d.resume.is_some()) && request.attempts == 0 {
         return resume::start(state, now, key, out);
     }
-    let attempt = state.requests.begin(key, now.mono);
+    let attempt = state.requests.begin_attempt(key, now.mono);
     reserve_slots(state, now, attempt, INITIAL_RESERVATIONS, out);
     state.timers.set(now.mono + WIDEN_DELAY, Timer::Attempt(attempt));
-    if state.requests.attempts.get(attempt).is_some_and(|a| a.asks.is_empty() && a.slot.is_none()) {
+    if state
+        .requests
+        .attempts
+        .get(attempt)
+        .is_some_and(|a| a.reservations.is_empty() && a.slot.is_none())
+    {
         retry::on_no_endpoint(state, now, attempt, out);
     }
 }
@@ -56,7 +61,8 @@
 /// Asks further endpoints after an attempt has waited for a while.
 pub fn widen_search(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
-    if found.asks.len() < MAX_RESERVATIONS && found.stage != AttemptStage::Queue {
+    if found.reservations.len() < MAX_RESERVATIONS && found.stage != AttemptStage::WaitingForPrefill
+    {
         reserve_slots(state, now, attempt, ADDED_RESERVATIONS, out);
     }
 }
@@ -74,7 +80,7 @@
     let Some(entry) = state.view.entry(request.entry) else { return };
     let role = match (entry.target, found.stage) {
         (EntryTarget::Service(_), _) => Role::Plain,
-        (EntryTarget::Model(_), AttemptStage::Queue) => Role::Prefill,
+        (EntryTarget::Model(_), AttemptStage::WaitingForPrefill) => Role::Prefill,
         (EntryTarget::Model(_), _) => Role::Decode,
     };
     let terms = slot_terms(state, now, attempt, role);
@@ -109,7 +115,7 @@
     let delay = |cost: Duration| ((cost - min_cost) * DELAY_FACTOR).min(max_delay);
     let plan = ranked.iter().map(|(cost, endpoint)| (now.mono + delay(*cost), *endpoint));
     let plan = plan.rev().collect();
-    state.requests.attempts[attempt].plan = plan;
+    state.requests.attempts[attempt].prefill_plan = plan;
     reserve_due(state, now, attempt, out);
 }
 
@@ -123,10 +129,10 @@
     out: &mut Vec<Effect>,
 ) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    if let Some(next) = found.plan.last_mut() {
+    if let Some(next) = found.prefill_plan.last_mut() {
         next.0 = now.mono;
         reserve_due(state, now, attempt, out);
-    } else if found.stage != AttemptStage::Queue && found.denied.len() < max_denials {
+    } else if found.stage != AttemptStage::WaitingForPrefill && found.denied.len() < max_denials {
         reserve_slots(state, now, attempt, INITIAL_RESERVATIONS, out);
     }
 }
@@ -136,11 +142,11 @@
     let terms = slot_terms(state, now, attempt, Role::Prefill);
     loop {
         let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-        let Some((at, endpoint)) = found.plan.last().copied() else { return };
+        let Some((at, endpoint)) = found.prefill_plan.last().copied() else { return };
         if now.mono + SIMULTANEOUS_WINDOW < at {
             return state.timers.set(at, Timer::Attempt(attempt));
         }
-        found.plan.pop();
+        found.prefill_plan.pop();
         reserve::request_slot(state, now, attempt, endpoint, terms, out);
     }
 }
@@ -152,23 +158,25 @@
     let transfer = estimate::transfer_time(state, request);
     let lags = estimate::lags(state, request.entry);
     let (lead, deadline) = match (role, found.stage) {
-        (Role::Decode, AttemptStage::Move) => {
-            let last = found.cache.as_ref().map_or(now.mono, |c| c.until);
+        (Role::Decode, AttemptStage::Relocating) => {
+            let last = found.kv_cache.as_ref().map_or(now.mono, |c| c.evicted_at);
             (Duration::ZERO, last.saturating_sub(transfer))
         }
-        (Role::Decode, _) => (prefill + transfer + lags.placed.margin(), request.until),
+        (Role::Decode, _) => {
+            (prefill + transfer + lags.decode_granted.margin(), request.wait_deadline)
+        }
         (Role::Prefill, _) => {
-            let lead = prefill + transfer + lags.run.margin();
+            let lead = prefill + transfer + lags.prefill_started.margin();
             (lead, decode_hold_deadline(now, request, lead))
         }
         (Role::Plain, _) => {
-            let lead = lags.run.margin();
-            (lead, request.until.saturating_sub(lead))
+            let lead = lags.prefill_started.margin();
+            (lead, request.wait_deadline.saturating_sub(lead))
         }
     };
-    let transfer_tokens = if role == Role::Prefill { request.prompt_tokens() } else { 0 };
-    let tokens =
-        request.prompt_tokens() + if role == Role::Prefill { 0 } else { request.remaining() };
+    let transfer_tokens = if role == Role::Prefill { request.prefill_tokens() } else { 0 };
+    let tokens = request.prefill_tokens()
+        + if role == Role::Prefill { 0 } else { request.remaining_tokens() };
     SlotTerms { tokens, transfer_tokens, lead, deadline }
 }
 
@@ -179,7 +187,7 @@
 /// completion that has become late therefore releases its decode slot and waits behind the others.
 fn decode_hold_deadline(now: Now, request: &Request, lead: Duration) -> Duration {
     let latest = request.due.saturating_sub(lead).max(now.mono + MAX_LATE_HOLD);
-    latest.min(request.until)
+    latest.min(request.wait_deadline)
 }
 
 /// Continues an attempt to which a slot was granted.
@@ -192,15 +200,15 @@
 ) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let stage = found.stage;
-    let (request, since) = (found.request, found.since);
-    let is_completion = state.requests.arena[request].draft.is_some();
+    let (request, since) = (found.request, found.stage_since);
+    let is_completion = state.requests.arena[request].completion.is_some();
     let role = match stage {
-        AttemptStage::Queue => "prefill",
+        AttemptStage::WaitingForPrefill => "prefill",
         _ if is_completion => "decode",
         _ => "plain",
     };
     match stage {
-        AttemptStage::Queue => found.prefill = Some(slot),
+        AttemptStage::WaitingForPrefill => found.prefill_slot = Some(slot),
         _ => found.slot = Some(slot),
     }
     let id = state.requests.arena[request].id;
@@ -212,10 +220,12 @@
         waited,
     }));
     match stage {
-        AttemptStage::Queue => prefill::start(state, now, attempt, out),
-        AttemptStage::Move => decode::start_import(state, now, attempt, out),
-        AttemptStage::Slot if is_completion => prefill::reserve_slot(state, now, attempt, out),
-        AttemptStage::Slot => plain::send_call(state, now, attempt, out),
+        AttemptStage::WaitingForPrefill => prefill::start(state, now, attempt, out),
+        AttemptStage::Relocating => decode::start_import(state, now, attempt, out),
+        AttemptStage::WaitingForSlot if is_completion => {
+            prefill::reserve_slot(state, now, attempt, out);
+        }
+        AttemptStage::WaitingForSlot => plain::send_call(state, now, attempt, out),
         _ => reserve::release(state, slot, out),
     }
 }
@@ -224,5 +234,5 @@
 #[must_use]
 pub fn refusal_reason(state: &State, key: RequestKey) -> Refusal {
     let Some(request) = state.requests.arena.get(key) else { return Refusal::NoEndpoint };
-    if request.due < request.until { Refusal::WaitTimedOut } else { Refusal::TargetMissed }
+    if request.due < request.wait_deadline { Refusal::WaitTimedOut } else { Refusal::TargetMissed }
 }
--- a/crates/basilbank_core/src/reduce/plain.rs
+++ b/crates/basilbank_core/src/reduce/plain.rs
@@ -21,7 +21,7 @@
 pub fn send_call(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let Some(slot) = found.slot else { return };
-    found.enter(AttemptStage::Plain, now.mono);
+    found.enter_stage(AttemptStage::Plain, now.mono);
     let key = found.request;
     state.requests.set_served(key);
     let request = &state.requests.arena[key];
@@ -39,17 +39,23 @@
 pub fn on_answered(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (key, slot) = (found.request, found.slot);
-    let took = now.mono - found.since;
+    let took = now.mono - found.stage_since;
     if let Some(entry) = state.view.entry(state.requests.arena[key].entry) {
-        state.health.lags.entry(entry.target).or_default().run.add(Duration::ZERO, took);
+        state
+            .health
+            .overruns
+            .entry(entry.target)
+            .or_default()
+            .prefill_started
+            .add(Duration::ZERO, took);
     }
     if let Some(slot) = slot {
-        state.health.entry(slot.endpoint).failures = 0;
+        state.health.endpoint_mut(slot.endpoint).failures = 0;
         reserve::release(state, slot, out);
     }
     let Some(request) = state.requests.remove(key) else { return };
     out.push(Effect::Answer { caller: request.caller, answer: Answer::Plain { attempt } });
-    let ttft = now.mono - request.accepted;
+    let ttft = now.mono - request.accepted_at;
     let progress = Progress::FirstToken { request: request.id, entry: request.entry, ttft };
     out.push(Effect::Progress(progress));
     settle::finish_request(state, now, &request, Outcome::Done, out);
--- a/crates/basilbank_core/src/reduce/prefill.rs
+++ b/crates/basilbank_core/src/reduce/prefill.rs
@@ -34,10 +34,10 @@
 /// Looks for a prefill slot for an attempt that has its decode slot.
 pub fn reserve_slot(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.enter(AttemptStage::Queue, now.mono);
-    found.placed = now.mono;
+    found.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
+    found.decode_granted = now.mono;
     place::reserve_prefill_slots(state, now, attempt, out);
-    if state.requests.attempts.get(attempt).is_some_and(|a| a.asks.is_empty()) {
+    if state.requests.attempts.get(attempt).is_some_and(|a| a.reservations.is_empty()) {
         retry::on_no_endpoint(state, now, attempt, out);
     }
 }
@@ -49,13 +49,13 @@
 /// spent on it.
 pub fn start(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let Some(slot) = found.prefill else { return };
+    let Some(slot) = found.prefill_slot else { return };
     if found.slot.is_some_and(|decode| state.is_leaving(decode.endpoint)) {
         return retry::restart_attempt(state, now, attempt, out);
     }
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.enter(AttemptStage::Prefill, now.mono);
-    found.run = now.mono;
+    found.enter_stage(AttemptStage::Prefill, now.mono);
+    found.prefill_started = now.mono;
     let request = found.request;
     let expected = state
         .requests
@@ -101,7 +101,7 @@
         attempt_number: found.number,
         endpoint,
         delivered: request.delivered,
-        remaining: request.remaining(),
+        remaining: request.remaining_tokens(),
         priority: class.map_or(0, |c| c.priority),
         timeout,
     }
@@ -119,22 +119,23 @@
     if found.stage != AttemptStage::Prefill {
         return;
     }
-    let Some(slot) = found.prefill else { return };
+    let Some(slot) = found.prefill_slot else { return };
     let until = now.mono + state.local.tuning.kv_life;
     let endpoint = slot.endpoint;
-    found.cache = Some(KvCache { endpoint, handle: result.handle, bytes: result.bytes, until });
-    found.spent = result.prefill_time;
+    found.kv_cache =
+        Some(KvCache { endpoint, handle: result.handle, bytes: result.bytes, evicted_at: until });
+    found.prefill_time = result.prefill_time;
     let request = &mut state.requests.arena[found.request];
-    request.risked = true;
+    request.may_have_run = true;
     if request.delivered == 0 {
-        request.prompt = result.prompt_tokens;
-        request.cached = result.cached_tokens;
+        request.prompt_tokens = result.prompt_tokens;
+        request.cached_tokens = result.cached_tokens;
     }
-    if let Some(completion) = &request.draft {
+    if let Some(completion) = &request.completion {
         for block in completion.block_hashes.iter() {
             state.health.prefixes.add(*block, endpoint);
         }
     }
-    state.health.entry(endpoint).failures = 0;
+    state.health.endpoint_mut(endpoint).failures = 0;
     decode::start_import(state, now, attempt, out);
 }
--- a/crates/basilbank_core/src/reduce/queue.rs
+++ b/crates/basilbank_core/src/reduce/queue.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     ids::{EntryId, VmId},
-    state::{Group, Lease, Ledger, SlotKey, View, Waiter, Waiting},
+    state::{Group, Ledger, SlotKey, SlotLease, View, WaitQueue, Waiter},
     time::Now,
 };
 
@@ -62,19 +62,19 @@
         let share = view.entry(entry).map_or(0.0, |e| e.limits.owed);
         let slots = f64::from(ledger.slots);
         let weight = share.max(MIN_SHARE) * slots;
-        FairShare { owed: share * slots, weight, used: f64::from(ledger.used_by(entry)) }
+        FairShare { owed: share * slots, weight, used: f64::from(ledger.slots_used_by(entry)) }
     }
 }
 
 /// Returns the reservation that gets the next free slot.
 #[must_use]
 pub fn next_reservation(ledger: &mut Ledger, view: &View, now: Now) -> Option<Choice> {
-    if ledger.waiting.is_empty() || ledger.free() == 0 || now.mono < ledger.ready_at() {
+    if ledger.waiting.is_empty() || ledger.free_slots() == 0 || now.mono < ledger.ready_at() {
         return None;
     }
-    ledger.waiting.note_late(now.mono);
+    ledger.waiting.demote_late(now.mono);
     let mut best: Option<(Rank, SlotKey)> = None;
-    for (entry, queue) in ledger.waiting.lines() {
+    for (entry, queue) in ledger.waiting.queues() {
         let Some((group, at, waiter)) = queue.first() else { continue };
         let share = FairShare::of(ledger, view, entry);
         let lent = share.owed <= share.used;
@@ -91,10 +91,10 @@
 #[must_use]
 pub fn estimate_wait(ledger: &Ledger, view: &View, key: SlotKey, now: Now) -> Option<Duration> {
     let waiter = ledger.waiting.get(key)?;
-    let (group, ahead) = ledger.waiting.place(key)?;
+    let (group, ahead) = ledger.waiting.position(key)?;
     let before = count_served_before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
-    let wait = ledger.pace? * (1 + before);
-    let drought = ledger.drought(now.mono);
+    let wait = ledger.slot_interval? * (1 + before);
+    let drought = ledger.late_wait(now.mono);
     Some(if group == Group::Late { wait.max(drought) } else { wait })
 }
 
@@ -102,23 +102,23 @@
 /// new reservation would wait behind all others.
 #[must_use]
 pub fn remove_infeasible(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
-    let Some(pace) = ledger.pace else { return Default::default() };
+    let Some(pace) = ledger.slot_interval else { return Default::default() };
     let mut waiting = std::mem::take(&mut ledger.waiting);
-    if waiting.lines().any(|(_, queue)| queue.has(Group::Late)) {
-        ledger.note_late(now.mono);
+    if waiting.queues().any(|(_, queue)| queue.has_group(Group::Late)) {
+        ledger.record_late_wait(now.mono);
     }
     // Reservations that are in time are served before late ones and keep arriving, so their current
     // number says little about when a late one is served. The time since a late one was last served
     // says more.
-    let drought = ledger.drought(now.mono);
-    let infeasible = waiting.take(|waiting, waiter, group, ahead| {
+    let drought = ledger.late_wait(now.mono);
+    let infeasible = waiting.remove_matching(|waiting, waiter, group, ahead| {
         let before = count_served_before(ledger, waiting, view, waiter.entry, group, ahead);
         let wait = pace * (1 + before);
         let wait = if group == Group::Late { wait.max(drought) } else { wait };
-        waiter.until < now.mono + wait
+        waiter.deadline < now.mono + wait
     });
     ledger.waiting = waiting;
-    (infeasible, ledger.behind(now.mono))
+    (infeasible, ledger.expected_wait(now.mono))
 }
 
 /// Returns the leases to take back, with their holders.
@@ -129,13 +129,13 @@
 /// lose the least work.
 #[must_use]
 pub fn select_preemptions(ledger: &mut Ledger, view: &View, now: Now) -> Vec<(SlotKey, VmId)> {
-    if !ledger.resumable || 0 < ledger.free() {
+    if !ledger.resumable || 0 < ledger.free_slots() {
         return Vec::new();
     }
-    let soon = now.mono + ledger.interval(now.mono) * LIKELY_FREE_FACTOR;
+    let soon = now.mono + ledger.lease_end_interval(now.mono) * LIKELY_FREE_FACTOR;
     let urgent: usize = ledger
         .waiting
-        .lines()
+        .queues()
         .map(|(e, queue)| {
             let share = FairShare::of(ledger, view, e);
             let unused = (share.owed - share.used).max(0.0) as usize;
@@ -143,13 +143,13 @@
         })
         .sum();
     let is_pending =
-        |lease: &Lease| lease.preempted.is_some_and(|at| now.mono < at + PREEMPTION_TIMEOUT);
+        |lease: &SlotLease| lease.preempted_at.is_some_and(|at| now.mono < at + PREEMPTION_TIMEOUT);
     let pending = ledger.leases.values().filter(|lease| is_pending(lease)).count();
     let mut preempted = Vec::new();
     for _ in pending..urgent {
         let Some(key) = select_victim(ledger, view) else { break };
         let Some(lease) = ledger.leases.get_mut(&key) else { break };
-        lease.preempted = Some(now.mono);
+        lease.preempted_at = Some(now.mono);
         preempted.push((key, lease.vm));
     }
     preempted
@@ -158,23 +158,25 @@
 /// Returns whether a slot is taken back for a reservation: it has used up much of its time, and it
 /// is due before a slot is likely to become free.
 fn is_urgent(group: Group, waiter: &Waiter, now: Now, soon: Duration) -> bool {
-    let min_wait = waiter.due.saturating_sub(waiter.since) / URGENT_WAIT_DIVISOR;
-    let has_waited = waiter.since + min_wait <= now.mono;
-    group != Group::Late && waiter.first && has_waited && waiter.due < soon
+    let min_wait = waiter.due.saturating_sub(waiter.arrived_at) / URGENT_WAIT_DIVISOR;
+    let has_waited = waiter.arrived_at + min_wait <= now.mono;
+    group != Group::Late && waiter.can_preempt && has_waited && waiter.due < soon
 }
 
 fn select_victim(ledger: &Ledger, view: &View) -> Option<SlotKey> {
     let over_share = |entry: EntryId| {
         let share = FairShare::of(ledger, view, entry);
         let preempted =
-            ledger.leases.values().filter(|l| l.entry == entry && l.preempted.is_some());
+            ledger.leases.values().filter(|l| l.entry == entry && l.preempted_at.is_some());
         let used = share.used - preempted.count() as f64;
         (share.owed + 1.0 <= used).then_some(used / share.weight)
     };
-    let candidates = ledger.used.keys().filter_map(|entry| Some((over_share(*entry)?, *entry)));
+    let candidates =
+        ledger.used_slots.keys().filter_map(|entry| Some((over_share(*entry)?, *entry)));
     let (_, entry) = candidates.max_by(|a, b| a.partial_cmp(b).expect("no NaN"))?;
-    let of_entry = ledger.leases.iter().filter(|(_, l)| l.entry == entry && l.preempted.is_none());
-    of_entry.max_by_key(|(key, l)| (l.since, **key)).map(|(key, _)| *key)
+    let of_entry =
+        ledger.leases.iter().filter(|(_, l)| l.entry == entry && l.preempted_at.is_none());
+    of_entry.max_by_key(|(key, l)| (l.granted_at, **key)).map(|(key, _)| *key)
 }
 
 /// Returns the number of reservations that are served before one that has `ahead` reservations of
@@ -184,7 +186,7 @@
 /// entry, only as many reservations count as bring it to the same ratio.
 fn count_served_before(
     ledger: &Ledger,
-    waiting: &Waiting,
+    waiting: &WaitQueue,
     view: &View,
     entry: EntryId,
     group: Group,
@@ -196,11 +198,11 @@
         return ahead as u32;
     }
     let usage_ratio = used / share.weight;
-    let others = waiting.lines().filter(|(other, _)| *other != entry);
+    let others = waiting.queues().filter(|(other, _)| *other != entry);
     let turns = others.map(|(other, queue)| {
         let share = FairShare::of(ledger, view, other);
         let turns = (usage_ratio * share.weight - share.used).ceil().max(0.0);
-        turns.min(queue.up_to(group) as f64)
+        turns.min(queue.count_up_to(group) as f64)
     });
     ahead as u32 + turns.sum::<f64>() as u32
 }
--- a/crates/basilbank_core/src/reduce/reap.rs
+++ b/crates/basilbank_core/src/reduce/reap.rs
@@ -12,7 +12,7 @@
     event::StreamInfo,
     ids::{EndpointId, RequestId},
     reduce::order,
-    state::{Cancelled, State, Timer, Watch},
+    state::{CancelWatch, CancelledAttempt, State, Timer},
     time::Now,
 };
 
@@ -54,23 +54,23 @@
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let interval = state.local.tuning.reap_interval;
     let mut to_list = Vec::new();
-    if state.reaper.due <= now.mono {
-        state.reaper.due = now.mono + interval;
-        state.timers.set(state.reaper.due, Timer::Reap);
+    if state.reaper.next_list <= now.mono {
+        state.reaper.next_list = now.mono + interval;
+        state.timers.set(state.reaper.next_list, Timer::Reap);
         let engines = order::owned_endpoints(state).filter(|e| e.role != Role::Plain);
         to_list.extend(engines.map(|e| e.id));
     }
     for watch in state.reaper.watches.values_mut() {
-        watch.cancelled.retain(|c| now.mono < c.at + MAX_CHECK_TIME);
+        watch.cancelled.retain(|c| now.mono < c.cancelled_at + MAX_CHECK_TIME);
     }
     state.reaper.watches.retain(|_, watch| !watch.cancelled.is_empty());
     for (endpoint, watch) in &mut state.reaper.watches {
-        if now.mono < watch.due {
+        if now.mono < watch.check_at {
             continue;
         }
-        watch.asked = now.mono;
-        watch.due = now.mono + interval;
-        state.timers.set(watch.due, Timer::Reap);
+        watch.listed_at = now.mono;
+        watch.check_at = now.mono + interval;
+        state.timers.set(watch.check_at, Timer::Reap);
         to_list.push(*endpoint);
     }
     to_list.sort_unstable();
@@ -96,10 +96,10 @@
         let due = now.mono + CHECK_DELAY;
         let watch = state.reaper.watches.entry(*endpoint).or_insert_with(|| {
             state.timers.set(due, Timer::Reap);
-            Watch { due, asked: Duration::ZERO, cancelled: Vec::new() }
+            CancelWatch { check_at: due, listed_at: Duration::ZERO, cancelled: Vec::new() }
         });
         let (request, held) = (*request, held.clone());
-        watch.cancelled.push(Cancelled { request, held, at: now.mono });
+        watch.cancelled.push(CancelledAttempt { request, resource: held, cancelled_at: now.mono });
     }
 }
 
@@ -110,12 +110,12 @@
     let own_streams = || streams.iter().filter(|info| (info.vm, info.incarnation) == own);
     let requests: HashSet<_> = own_streams().map(|info| info.request).collect();
     let names: HashSet<_> = own_streams().map(|info| info.stream.as_str()).collect();
-    let is_listed = |c: &Cancelled| {
-        requests.contains(&c.request.0) || c.held.as_deref().is_some_and(|h| names.contains(h))
+    let is_listed = |c: &CancelledAttempt| {
+        requests.contains(&c.request.0) || c.resource.as_deref().is_some_and(|h| names.contains(h))
     };
     let Some(watch) = state.reaper.watches.get_mut(&endpoint) else { return };
-    let asked = watch.asked;
-    watch.cancelled.retain(|c| asked < c.at + CHECK_DELAY || is_listed(c));
+    let asked = watch.listed_at;
+    watch.cancelled.retain(|c| asked < c.cancelled_at + CHECK_DELAY || is_listed(c));
     if watch.cancelled.is_empty() {
         state.reaper.watches.remove(&endpoint);
     }
@@ -160,7 +160,7 @@
         return (is_unread && !is_live).then_some(Cause::Unread);
     }
     let members = &state.members;
-    if !members.may_decide() || members.steward(endpoint.0) != Some(members.own) {
+    if !members.may_decide() || members.owner(endpoint.0) != Some(members.own) {
         return None;
     }
     if info.is_kv_cache {
@@ -182,8 +182,8 @@
 /// request of this daemon that has come to read it since keeps it.
 fn was_cancelled(state: &State, endpoint: EndpointId, info: &StreamInfo, is_live: bool) -> bool {
     let Some(watch) = state.reaper.watches.get(&endpoint) else { return false };
-    let is_match = |c: &Cancelled| {
-        let is_named = c.held.as_ref() == Some(&info.stream);
+    let is_match = |c: &CancelledAttempt| {
+        let is_named = c.resource.as_ref() == Some(&info.stream);
         is_named || (c.request.0 == info.request && !is_live)
     };
     watch.cancelled.iter().any(is_match) && !is_read(state, endpoint, &info.stream)
--- a/crates/basilbank_core/src/reduce/reserve.rs
+++ b/crates/basilbank_core/src/reduce/reserve.rs
@@ -43,7 +43,7 @@
 ) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let cached = match found.stage {
-        AttemptStage::Queue => {
+        AttemptStage::WaitingForPrefill => {
             estimate::cached_tokens(state, &state.requests.arena[found.request], endpoint)
         }
         _ => 0,
@@ -51,37 +51,37 @@
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let request = &state.requests.arena[found.request];
     let key = SlotKey { endpoint, request: request.id, attempt: found.number };
-    if found.asks.contains(&key) {
+    if found.reservations.contains(&key) {
         return;
     }
-    found.asks.push(key);
-    let first = found.asks.len() == 1 && found.denied.is_empty();
+    found.reservations.push(key);
+    let first = found.reservations.len() == 1 && found.denied.is_empty();
     let own = OwnSlot {
         attempt,
-        first,
+        is_first: first,
         entry: request.entry,
         tokens: terms.tokens.saturating_sub(cached),
-        sent: terms.transfer_tokens,
-        lead: to_millis(terms.lead),
-        held: false,
-        asked: now.mono,
-        asks: 0,
-        until: terms.deadline,
+        transfer_tokens: terms.transfer_tokens,
+        lead_ms: to_millis(terms.lead),
+        is_held: false,
+        asked_at: now.mono,
+        ask_count: 0,
+        deadline: terms.deadline,
     };
     state.slots.own.insert(key, own);
     send_reservation(state, now, key, out);
 }
 
 fn send_reservation(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
-    let Some(owner) = state.members.steward(key.endpoint.0) else { return };
+    let Some(owner) = state.members.owner(key.endpoint.0) else { return };
     let Some(own) = state.slots.own.get_mut(&key) else { return };
     let Some(attempt) = state.requests.attempts.get(own.attempt) else { return };
-    own.asked = now.mono;
-    own.asks += 1;
+    own.asked_at = now.mono;
+    own.ask_count += 1;
     let request = &state.requests.arena[attempt.request];
     let due = request.due;
     let (block, cached) = match attempt.stage {
-        AttemptStage::Queue => estimate::last_block(&state.view, request),
+        AttemptStage::WaitingForPrefill => estimate::last_block(&state.view, request),
         _ => (0, 0),
     };
     let reserve = Reserve {
@@ -90,14 +90,14 @@
         attempt: key.attempt,
         entry: own.entry.0,
         tokens: own.tokens,
-        wait: to_millis(own.until.saturating_sub(now.mono)),
+        wait: to_millis(own.deadline.saturating_sub(now.mono)),
         slack: to_signed_millis(now.mono, due),
-        lead: own.lead,
-        sent: own.sent,
+        lead: own.lead_ms,
+        sent: own.transfer_tokens,
         block,
         cached,
         begun: 0 < request.delivered,
-        first: own.first,
+        first: own.is_first,
     };
     peer::send(state, owner, Body::Reserve(reserve), out);
 }
@@ -124,14 +124,14 @@
     if state.slots.own.remove(&key).is_none() {
         return;
     }
-    let Some(owner) = state.members.steward(key.endpoint.0) else { return };
+    let Some(owner) = state.members.owner(key.endpoint.0) else { return };
     peer::send(state, owner, Body::Release(release), out);
 }
 
 /// Withdraws all waiting reservations of an attempt.
 pub fn withdraw(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    for key in std::mem::take(&mut found.asks) {
+    for key in std::mem::take(&mut found.reservations) {
         release(state, key, out);
     }
 }
@@ -139,9 +139,9 @@
 /// Gives an attempt a new key and number. It keeps its slots, under the keys they were granted
 /// with.
 pub fn renew_attempt(state: &mut State, attempt: AttemptKey) -> AttemptKey {
-    let attempt = state.requests.renew(attempt);
+    let attempt = state.requests.renew_attempt(attempt);
     let found = &state.requests.attempts[attempt];
-    for slot in [found.slot, found.prefill].into_iter().flatten() {
+    for slot in [found.slot, found.prefill_slot].into_iter().flatten() {
         if let Some(own) = state.slots.own.get_mut(&slot) {
             own.attempt = attempt;
         }
@@ -164,15 +164,15 @@
     found.slot = Some(key);
     let own = OwnSlot {
         attempt,
-        first: false,
+        is_first: false,
         entry,
         tokens: 0,
-        sent: 0,
-        lead: 0,
-        held: true,
-        asked: now.mono,
-        asks: 0,
-        until: now.mono,
+        transfer_tokens: 0,
+        lead_ms: 0,
+        is_held: true,
+        asked_at: now.mono,
+        ask_count: 0,
+        deadline: now.mono,
     };
     state.slots.own.insert(key, own);
     send_holds(state, endpoint, out);
@@ -185,24 +185,24 @@
         request: RequestId(grant.request),
         attempt: grant.attempt,
     };
-    let known = state.health.entry(key.endpoint);
-    known.free = Some((grant.free, now.mono));
-    known.full = None;
+    let known = state.health.endpoint_mut(key.endpoint);
+    known.free_slots = Some((grant.free, now.mono));
+    known.full_until = None;
     let Some(own) = state.slots.own.get_mut(&key) else {
         // The request has taken another slot or ended. Without this release, the slot would stay
         // leased until the owner receives the next list of held slots.
         peer::send(state, from, Body::Release(release_message(key)), out);
         return;
     };
-    if own.held {
+    if own.is_held {
         return;
     }
-    own.held = true;
+    own.is_held = true;
     let attempt = own.attempt;
-    state.slots.known.insert(key.endpoint, from);
+    state.slots.known_owners.insert(key.endpoint, from);
     if let Some(found) = state.requests.attempts.get_mut(attempt) {
-        found.asks.retain(|a| *a != key);
-        found.plan.clear();
+        found.reservations.retain(|a| *a != key);
+        found.prefill_plan.clear();
     }
     withdraw(state, attempt, out);
     place::on_granted(state, now, attempt, key, out);
@@ -219,22 +219,22 @@
     let reason = deny.reason();
     let is_full = matches!(reason, DenyReason::Full | DenyReason::Owed);
     if is_full {
-        state.health.entry(key.endpoint).full = Some(now.mono + retry);
+        state.health.endpoint_mut(key.endpoint).full_until = Some(now.mono + retry);
     }
-    let is_waiting = state.slots.own.get(&key).is_some_and(|own| !own.held);
+    let is_waiting = state.slots.own.get(&key).is_some_and(|own| !own.is_held);
     if !is_waiting {
         return;
     }
     let Some(own) = state.slots.own.remove(&key) else { return };
     let Some(found) = state.requests.attempts.get_mut(own.attempt) else { return };
-    found.asks.retain(|a| *a != key);
+    found.reservations.retain(|a| *a != key);
     found.denied.push(key.endpoint);
-    if !found.asks.is_empty() {
+    if !found.reservations.is_empty() {
         return;
     }
     let max_denials = if is_full { MAX_FULL_DENIALS } else { usize::MAX };
     place::reserve_next(state, now, own.attempt, max_denials, out);
-    if state.requests.attempts.get(own.attempt).is_some_and(|a| a.asks.is_empty()) {
+    if state.requests.attempts.get(own.attempt).is_some_and(|a| a.reservations.is_empty()) {
         retry::on_all_denied(state, now, own.attempt, reason, retry, out);
     }
 }
@@ -252,31 +252,32 @@
 
 /// Sends waiting reservations again, and renews held slots.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let waiting = state.slots.own.iter().filter(|(_, own)| !own.held);
-    let stale =
-        waiting.filter(|(_, own)| own.asked + RESEND_INTERVAL * own.asks.min(5) <= now.mono);
+    let waiting = state.slots.own.iter().filter(|(_, own)| !own.is_held);
+    let stale = waiting
+        .filter(|(_, own)| own.asked_at + RESEND_INTERVAL * own.ask_count.min(5) <= now.mono);
     let stale: Vec<_> = stale.map(|(key, own)| (*key, own.attempt)).collect();
     for (key, attempt) in stale {
         log_queued(state, attempt, key, out);
         send_reservation(state, now, key, out);
         place::widen_search(state, now, attempt, out);
     }
-    if state.slots.told + state.local.tuning.slot_lease / 3 <= now.mono {
-        state.slots.told = now.mono;
+    if state.slots.reported_at + state.local.tuning.slot_lease / 3 <= now.mono {
+        state.slots.reported_at = now.mono;
         send_all_holds(state, out);
     }
 }
 
 fn log_queued(state: &State, attempt: AttemptKey, key: SlotKey, out: &mut Vec<Effect>) {
-    let first = state.requests.attempts.get(attempt).is_some_and(|a| a.asks.first() == Some(&key));
-    if first && state.slots.own[&key].asks == 1 {
+    let first =
+        state.requests.attempts.get(attempt).is_some_and(|a| a.reservations.first() == Some(&key));
+    if first && state.slots.own[&key].ask_count == 1 {
         out.push(Effect::Progress(Progress::Queued { request: key.request }));
     }
 }
 
 /// Sends owners the lists of held slots, including empty lists where the last slot was released.
 fn send_all_holds(state: &mut State, out: &mut Vec<Effect>) {
-    let mut endpoints: Vec<_> = state.slots.known.keys().copied().collect();
+    let mut endpoints: Vec<_> = state.slots.known_owners.keys().copied().collect();
     endpoints.extend(state.slots.held().map(|(key, _)| key.endpoint));
     endpoints.sort_unstable();
     endpoints.dedup();
@@ -287,19 +288,20 @@
 
 /// Sends the owner of an endpoint the list of slots that this daemon holds there.
 pub fn send_holds(state: &mut State, endpoint: EndpointId, out: &mut Vec<Effect>) {
-    let Some(owner) = state.members.steward(endpoint.0) else { return };
+    let Some(owner) = state.members.owner(endpoint.0) else { return };
     let holds = holds_at(state, endpoint);
     if holds.holds.is_empty() {
-        state.slots.known.remove(&endpoint);
+        state.slots.known_owners.remove(&endpoint);
     } else {
-        state.slots.known.insert(endpoint, owner);
+        state.slots.known_owners.insert(endpoint, owner);
     }
     peer::send(state, owner, Body::Holds(holds), out);
 }
 
 /// Returns the slots that this daemon holds at an endpoint.
 pub fn holds_at(state: &State, endpoint: EndpointId) -> Holds {
-    let own = state.slots.own.range(SlotKey::all_of(endpoint)).filter(|(_, own)| own.held);
+    let own =
+        state.slots.own.range(SlotKey::endpoint_range(endpoint)).filter(|(_, own)| own.is_held);
     let holds = own.map(|(key, own)| Hold {
         request: key.request.0,
         attempt: key.attempt,
@@ -312,13 +314,13 @@
 /// Handles a change of members, which may change the owners of endpoints: sends new owners the held
 /// slots and the waiting reservations without delay.
 pub fn on_members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let known = &state.slots.known;
-    let moved = known.iter().filter(|(e, vm)| state.members.steward(e.0) != Some(**vm));
+    let known = &state.slots.known_owners;
+    let moved = known.iter().filter(|(e, vm)| state.members.owner(e.0) != Some(**vm));
     let moved: Vec<_> = moved.map(|(endpoint, _)| *endpoint).collect();
     for endpoint in moved {
         send_holds(state, endpoint, out);
     }
-    let waiting = state.slots.own.iter().filter(|(_, own)| !own.held);
+    let waiting = state.slots.own.iter().filter(|(_, own)| !own.is_held);
     let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
     for key in waiting {
         send_reservation(state, now, key, out);
--- a/crates/basilbank_core/src/reduce/resume.rs
+++ b/crates/basilbank_core/src/reduce/resume.rs
@@ -15,18 +15,18 @@
 /// Reads the stream that a caller's cursor names.
 pub fn start(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let request = &mut state.requests.arena[key];
-    request.risked = true;
+    request.may_have_run = true;
     let entry = request.entry;
-    let resume = request.draft.as_ref().and_then(|d| d.resume.clone());
+    let resume = request.completion.as_ref().and_then(|d| d.resume.clone());
     let known = resume.filter(|r| state.view.endpoint(r.endpoint).is_some());
     let Some(resume) = known else {
         return end_missing_stream(state, now, key, out);
     };
-    let attempt = state.requests.begin(key, now.mono);
+    let attempt = state.requests.begin_attempt(key, now.mono);
     state.requests.set_served(key);
     let found = &mut state.requests.attempts[attempt];
     found.resumed = true;
-    found.taken = resume.offset;
+    found.next_offset = resume.offset;
     found.stream = Some(resume.stream);
     reserve::adopt_slot(state, now, attempt, resume.endpoint, entry, out);
     read_stream(state, now, attempt, out);
@@ -54,8 +54,8 @@
 
 fn read_stream(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let found = &mut state.requests.attempts[attempt];
-    found.enter(AttemptStage::Stream, now.mono);
-    found.heard = now.mono;
+    found.enter_stage(AttemptStage::Stream, now.mono);
+    found.last_progress = now.mono;
     let (Some(slot), Some(stream)) = (found.slot, found.stream.clone()) else { return };
     let request = &state.requests.arena[found.request];
     let call = EngineCall::Resume {
@@ -64,7 +64,7 @@
         request: request.id,
         endpoint: slot.endpoint,
         stream,
-        offset: found.taken,
+        offset: found.next_offset,
     };
     out.push(Effect::Engine(call));
     state.timers.set(now.mono + state.local.tuning.stall, Timer::Attempt(attempt));
--- a/crates/basilbank_core/src/reduce/retry.rs
+++ b/crates/basilbank_core/src/reduce/retry.rs
@@ -36,9 +36,9 @@
     if failure == Failure::TakenOver && stage == AttemptStage::Stream {
         return on_taken_over(state, now, attempt, out);
     }
-    let cache = found.cache.as_ref().map(|c| c.endpoint);
+    let cache = found.kv_cache.as_ref().map(|c| c.endpoint);
     let blamed = if failure == Failure::Evicted { cache } else { found.endpoint() };
-    state.requests.arena[found.request].blamed.extend(blamed);
+    state.requests.arena[found.request].failed_endpoints.extend(blamed);
     if let Some(endpoint) = found.endpoint() {
         health::record_failure(state, now, endpoint, failure, out);
     }
@@ -47,7 +47,9 @@
         AttemptStage::Import => on_import_failed(state, now, attempt, failure, out),
         AttemptStage::Stream => on_stream_failed(state, now, attempt, failure, out),
         AttemptStage::Plain => on_plain_failed(state, now, attempt, failure, out),
-        AttemptStage::Slot | AttemptStage::Queue | AttemptStage::Move => {}
+        AttemptStage::WaitingForSlot
+        | AttemptStage::WaitingForPrefill
+        | AttemptStage::Relocating => {}
     }
 }
 
@@ -57,19 +59,21 @@
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let stage = found.stage;
     let deadline = match stage {
-        AttemptStage::Slot => return place::widen_search(state, now, attempt, out),
-        AttemptStage::Queue => return place::reserve_due(state, now, attempt, out),
-        AttemptStage::Prefill => found.since + prefill::timeout(state, attempt),
-        AttemptStage::Move => found.cache.as_ref().map_or(found.since, |c| c.until),
-        AttemptStage::Import => found.since + decode::import_timeout(state, attempt),
-        AttemptStage::Stream => found.heard + state.local.tuning.stall,
-        AttemptStage::Plain => found.since + crate::reduce::plain::CALL_TIMEOUT,
+        AttemptStage::WaitingForSlot => return place::widen_search(state, now, attempt, out),
+        AttemptStage::WaitingForPrefill => return place::reserve_due(state, now, attempt, out),
+        AttemptStage::Prefill => found.stage_since + prefill::timeout(state, attempt),
+        AttemptStage::Relocating => {
+            found.kv_cache.as_ref().map_or(found.stage_since, |c| c.evicted_at)
+        }
+        AttemptStage::Import => found.stage_since + decode::import_timeout(state, attempt),
+        AttemptStage::Stream => found.last_progress + state.local.tuning.stall,
+        AttemptStage::Plain => found.stage_since + crate::reduce::plain::CALL_TIMEOUT,
     };
     if now.mono < deadline {
         return state.timers.set(deadline, Timer::Attempt(attempt));
     }
     match stage {
-        AttemptStage::Move => on_cache_evicted(state, now, attempt, out),
+        AttemptStage::Relocating => on_cache_evicted(state, now, attempt, out),
         AttemptStage::Import => on_failed(state, now, attempt, Failure::Stalled, out),
         _ => on_failed(state, now, attempt, Failure::Broken, out),
     }
@@ -102,12 +106,12 @@
         waste::record_prefill(state, now, attempt, Waste::PrefillFailed, out);
         settle::cancel_at_endpoints(state, attempt, out);
         let request = &mut state.requests.arena[key];
-        request.risked = true;
+        request.may_have_run = true;
         if !request.repeatable {
             return settle::end_as_unknown(state, now, key, out);
         }
     }
-    if let Some(slot) = state.requests.attempts[attempt].prefill.take() {
+    if let Some(slot) = state.requests.attempts[attempt].prefill_slot.take() {
         reserve::release_failed(state, slot, failure, out);
     }
     let retry = retry_reason(failure, Retry::PrefillFailed);
@@ -124,9 +128,9 @@
 ) {
     let found = &mut state.requests.attempts[attempt];
     let key = found.request;
-    found.cache = None;
-    found.enter(AttemptStage::Queue, now.mono);
-    if let Some(slot) = found.prefill.take() {
+    found.kv_cache = None;
+    found.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
+    if let Some(slot) = found.prefill_slot.take() {
         reserve::release(state, slot, out);
     }
     if !take_retry(state, key) {
@@ -171,9 +175,9 @@
 }
 
 fn cancel_decode(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let cache = state.requests.attempts[attempt].cache.take();
+    let cache = state.requests.attempts[attempt].kv_cache.take();
     settle::cancel_at_endpoints(state, attempt, out);
-    state.requests.attempts[attempt].cache = cache;
+    state.requests.attempts[attempt].kv_cache = cache;
 }
 
 /// Handles a KV cache for which no decode endpoint was found in time.
@@ -213,7 +217,7 @@
     let found = &mut state.requests.attempts[attempt];
     let key = found.request;
     found.stream = None;
-    found.enter(AttemptStage::Queue, now.mono);
+    found.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
     claim::forget_handed_over(state, key);
     settle::end_as_unknown(state, now, key, out);
 }
@@ -231,8 +235,8 @@
     waste::record_prefill(state, now, attempt, waste, out);
     settle::end_attempt(state, attempt, out);
     let request = &mut state.requests.arena[key];
-    request.risked = true;
-    if 0 < request.delivered && request.remaining() == 0 {
+    request.may_have_run = true;
+    if 0 < request.delivered && request.remaining_tokens() == 0 {
         return deliver::complete(state, now, key, "length".to_owned(), out);
     }
     if resumed {
@@ -246,7 +250,7 @@
         return settle::end_as_unknown(state, now, key, out);
     }
     request.due = now.mono + CONTINUATION_TARGET;
-    request.until = now.mono + MAX_CONTINUATION_WAIT;
+    request.wait_deadline = now.mono + MAX_CONTINUATION_WAIT;
     let retry = if waste == Waste::Preempted { Retry::Preempted } else { Retry::DecodeDied };
     log_retry(state, key, retry, Duration::ZERO, out);
     state.requests.set_queued(key);
@@ -281,7 +285,7 @@
         AttemptStage::Stream if is_repeatable && !found.resumed => {
             on_stream_lost(state, now, attempt, Waste::Preempted, out);
         }
-        AttemptStage::Queue => {
+        AttemptStage::WaitingForPrefill => {
             log_retry(state, key, Retry::Preempted, PREFILL_RETRY_PAUSE, out);
             schedule_attempt(state, now, key, PREFILL_RETRY_PAUSE, out);
         }
@@ -300,7 +304,7 @@
 ) {
     let key = state.requests.attempts[attempt].request;
     if !proves_not_run(failure) {
-        state.requests.arena[key].risked = true;
+        state.requests.arena[key].may_have_run = true;
         if !state.requests.arena[key].repeatable {
             return settle::end_as_unknown(state, now, key, out);
         }
--- a/crates/basilbank_core/src/reduce/retry/wait.rs
+++ b/crates/basilbank_core/src/reduce/retry/wait.rs
@@ -37,16 +37,17 @@
 ) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (key, stage) = (found.request, found.stage);
-    if stage == AttemptStage::Move {
+    if stage == AttemptStage::Relocating {
         return on_cache_evicted(state, now, attempt, out);
     }
-    let until = state.requests.arena[key].until;
+    let until = state.requests.arena[key].wait_deadline;
     let is_undecided = !matches!(reason, DenyReason::Full | DenyReason::Owed);
     if is_undecided && now.mono + UNDECIDED_RETRY_PAUSE < until {
         let pause = UNDECIDED_RETRY_PAUSE.mul_f64(0.5 + state.rng.unit());
         return schedule_attempt(state, now, key, pause, out);
     }
-    if stage == AttemptStage::Queue && now.mono + retry.max(PREFILL_RETRY_PAUSE) < until {
+    if stage == AttemptStage::WaitingForPrefill && now.mono + retry.max(PREFILL_RETRY_PAUSE) < until
+    {
         // It held a decode slot without using it. Other requests come first now, and it waits
         // behind them.
         let longest =
@@ -67,7 +68,7 @@
     let request = &state.requests.arena[key];
     let has_entry = state.view.entry(request.entry).is_some();
     let pause = state.local.tuning.max_backoff.mul_f64(0.5 + 0.5 * state.rng.unit());
-    if has_entry && now.mono + pause < request.until {
+    if has_entry && now.mono + pause < request.wait_deadline {
         return schedule_attempt(state, now, key, pause, out);
     }
     settle::give_up(state, now, key, Refusal::NoEndpoint, Some(pause), out);
@@ -88,7 +89,7 @@
     pause: Duration,
     out: &mut Vec<Effect>,
 ) {
-    if let Some((attempt, _)) = state.requests.current(key) {
+    if let Some((attempt, _)) = state.requests.current_attempt(key) {
         settle::end_attempt(state, attempt, out);
     }
     state.requests.set_queued(key);
@@ -121,10 +122,10 @@
 pub(super) fn take_retry(state: &mut State, key: RequestKey) -> bool {
     let request = &mut state.requests.arena[key];
     request.failures += 1;
-    if state.local.tuning.attempts <= request.failures || state.requests.budget < 1.0 {
+    if state.local.tuning.attempts <= request.failures || state.requests.retry_budget < 1.0 {
         return false;
     }
-    state.requests.budget -= 1.0;
+    state.requests.retry_budget -= 1.0;
     true
 }
 
--- a/crates/basilbank_core/src/reduce/settle.rs
+++ b/crates/basilbank_core/src/reduce/settle.rs
@@ -21,7 +21,7 @@
     let Some(key) = state.requests.callers.get(&caller).copied() else { return };
     if let RequestStage::Running(attempt) = state.requests.arena[key].stage {
         let found = &state.requests.attempts[attempt];
-        let is_read = found.stage == AttemptStage::Stream && 0 < found.taken;
+        let is_read = found.stage == AttemptStage::Stream && 0 < found.next_offset;
         if !is_read {
             waste::record_prefill(state, now, attempt, Waste::CallerLeft, out);
         }
@@ -59,7 +59,7 @@
     let progress =
         Progress::Refused { request: Some(request.id), team: Some(request.team), refusal };
     out.push(Effect::Progress(progress));
-    let outcome = if request.risked { Outcome::Unknown } else { Outcome::NotRun };
+    let outcome = if request.may_have_run { Outcome::Unknown } else { Outcome::NotRun };
     finish_request(state, now, &request, outcome, out);
 }
 
@@ -74,7 +74,7 @@
     out: &mut Vec<Effect>,
 ) {
     let Some(request) = state.requests.arena.get(key) else { return };
-    if request.risked {
+    if request.may_have_run {
         end_as_unknown(state, now, key, out);
     } else {
         refuse_with_retry_after(state, now, key, refusal, retry_after, out);
@@ -90,7 +90,7 @@
 }
 
 fn end_current_attempt(state: &mut State, key: RequestKey, out: &mut Vec<Effect>) {
-    if let Some((attempt, _)) = state.requests.current(key) {
+    if let Some((attempt, _)) = state.requests.current_attempt(key) {
         end_attempt(state, attempt, out);
     }
 }
@@ -100,7 +100,7 @@
     cancel_at_endpoints(state, attempt, out);
     reserve::withdraw(state, attempt, out);
     let Some(found) = state.requests.attempts.remove(attempt) else { return };
-    for slot in [found.slot, found.prefill].into_iter().flatten() {
+    for slot in [found.slot, found.prefill_slot].into_iter().flatten() {
         reserve::release(state, slot, out);
     }
     if let Some(request) = state.requests.arena.get_mut(found.request) {
@@ -115,14 +115,14 @@
     let mut push = |endpoint: EndpointId, resource: Option<String>| {
         out.push(Effect::Engine(EngineCall::Cancel { attempt, endpoint, request, resource }));
     };
-    let (slot, prefill) = (found.slot.map(|s| s.endpoint), found.prefill.map(|s| s.endpoint));
+    let (slot, prefill) = (found.slot.map(|s| s.endpoint), found.prefill_slot.map(|s| s.endpoint));
     match (found.stage, slot, prefill) {
         (AttemptStage::Prefill, _, Some(endpoint)) => push(endpoint, None),
         (AttemptStage::Import | AttemptStage::Plain, Some(endpoint), _) => push(endpoint, None),
         (AttemptStage::Stream, Some(endpoint), _) => push(endpoint, found.stream.clone()),
         _ => {}
     }
-    if let Some(cache) = &found.cache {
+    if let Some(cache) = &found.kv_cache {
         push(cache.endpoint, Some(cache.handle.clone()));
     }
 }
@@ -138,14 +138,14 @@
 ) {
     if outcome == Outcome::Done {
         let ratio = state.local.tuning.retry_ratio;
-        state.requests.budget = (state.requests.budget + ratio).min(MAX_RETRY_BUDGET);
+        state.requests.retry_budget = (state.requests.retry_budget + ratio).min(MAX_RETRY_BUDGET);
     }
-    let is_resumed = request.draft.as_ref().is_some_and(|d| d.resume.is_some());
-    let prompt = if 0 < request.delivered && !is_resumed { request.prompt } else { 0 };
-    let unused = request.taken.saturating_sub(prompt + request.delivered);
+    let is_resumed = request.completion.as_ref().is_some_and(|d| d.resume.is_some());
+    let prompt = if 0 < request.delivered && !is_resumed { request.prompt_tokens } else { 0 };
+    let unused = request.limit_tokens.saturating_sub(prompt + request.delivered);
     limit::give_back(state, now, request.entry, unused);
     claim::on_ended(state, request, outcome);
-    let streamed = match (request.first, request.last) {
+    let streamed = match (request.first_token_at, request.last_token_at) {
         (Some(first), Some(last)) => last - first,
         _ => Duration::ZERO,
     };
@@ -155,7 +155,7 @@
         team: request.team,
         entry: request.entry,
         outcome,
-        duration: now.mono - request.accepted,
+        duration: now.mono - request.accepted_at,
         prompt_tokens: prompt,
         generated_tokens: request.delivered,
         tbt: streamed / intervals,
--- a/crates/basilbank_core/src/reduce/slots.rs
+++ b/crates/basilbank_core/src/reduce/slots.rs
@@ -12,7 +12,7 @@
     effect::{Effect, Progress},
     ids::{EndpointId, EntryId, RequestId, VmId},
     reduce::{health, order, peer, queue, reserve},
-    state::{Group, Lease, Ledger, SlotKey, State, Timer, Waiter},
+    state::{Group, Ledger, SlotKey, SlotLease, State, Timer, Waiter},
     time::Now,
 };
 
@@ -29,16 +29,16 @@
     open_ledger(state, now, endpoint, out);
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     if let Some(lease) = ledger.leases.get_mut(&key) {
-        lease.until = now.mono + state.local.tuning.slot_lease;
+        lease.expires_at = now.mono + state.local.tuning.slot_lease;
         let lent = lease.lent;
         return send_grant(state, key, from, lent, out);
     }
     let mut waiter = new_waiter(now, key, from, ask);
     // This daemon reads the endpoint's cache events, so it may know more than the one that asks.
-    if ask.block != 0 && state.health.prefixes.has(ask.block, endpoint) {
+    if ask.block != 0 && state.health.prefixes.contains(ask.block, endpoint) {
         waiter.tokens = waiter.tokens.min(ask.sent.saturating_sub(ask.cached));
     }
-    ledger.wait(waiter, now.mono);
+    ledger.enqueue(waiter, now.mono);
     grant_waiting(state, now, endpoint, out);
     deny_if_too_late(state, now, key, out);
 }
@@ -46,11 +46,11 @@
 /// Denies a reservation that would not be served in the time it has.
 fn deny_if_too_late(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&key.endpoint) else { return };
-    if ledger.waiting.place(key).is_some_and(|(group, _)| group == Group::Late) {
-        ledger.note_late(now.mono);
+    if ledger.waiting.position(key).is_some_and(|(group, _)| group == Group::Late) {
+        ledger.record_late_wait(now.mono);
     }
     let Some(wait) = queue::estimate_wait(ledger, &state.view, key, now) else { return };
-    if ledger.waiting.get(key).is_none_or(|w| now.mono + wait <= w.until) {
+    if ledger.waiting.get(key).is_none_or(|w| now.mono + wait <= w.deadline) {
         return;
     }
     if let Some(waiter) = ledger.waiting.remove(key) {
@@ -68,18 +68,18 @@
         vm,
         entry: EntryId(ask.entry),
         tokens: ask.tokens,
-        sent: ask.sent,
+        transfer_tokens: ask.sent,
         due,
-        until: now.mono + Duration::from_millis(ask.wait.into()),
-        since: now.mono,
+        deadline: now.mono + Duration::from_millis(ask.wait.into()),
+        arrived_at: now.mono,
         begun: ask.begun,
-        first: ask.first,
+        can_preempt: ask.first,
     }
 }
 
 /// Why this daemon may grant nothing at an endpoint.
 fn denial_reason(state: &State, endpoint: EndpointId) -> Option<DenyReason> {
-    if state.members.steward(endpoint.0) != Some(state.local.vm) {
+    if state.members.owner(endpoint.0) != Some(state.local.vm) {
         return Some(DenyReason::NotSteward);
     }
     if !state.members.may_decide() {
@@ -103,33 +103,33 @@
         let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
         let Some(choice) = queue::next_reservation(ledger, &state.view, now) else { break };
         let Some(waiter) = ledger.waiting.remove(choice.key) else { break };
-        let lease = Lease {
+        let lease = SlotLease {
             vm: waiter.vm,
             entry: waiter.entry,
             tokens: waiter.tokens,
-            sent: waiter.sent,
-            since: now.mono,
-            until: now.mono + state.local.tuning.slot_lease,
-            done: now.mono,
+            transfer_tokens: waiter.transfer_tokens,
+            granted_at: now.mono,
+            expires_at: now.mono + state.local.tuning.slot_lease,
+            done_at: now.mono,
             lent: choice.lent,
-            preempted: None,
+            preempted_at: None,
         };
         if choice.group == Group::Late {
-            ledger.late_served = now.mono;
+            ledger.late_granted = now.mono;
         }
-        ledger.lease(waiter.key, lease);
+        ledger.add_lease(waiter.key, lease);
         send_grant(state, waiter.key, waiter.vm, choice.lent, out);
     }
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     let at = ledger.ready_at();
-    if !ledger.waiting.is_empty() && 0 < ledger.free() && ledger.alarm < at {
-        ledger.alarm = at;
-        state.timers.set(at, Timer::Serve(endpoint));
+    if !ledger.waiting.is_empty() && 0 < ledger.free_slots() && ledger.timer_at < at {
+        ledger.timer_at = at;
+        state.timers.set(at, Timer::GrantSlots(endpoint));
     }
 }
 
 fn send_grant(state: &mut State, key: SlotKey, to: VmId, lent: bool, out: &mut Vec<Effect>) {
-    let free = state.slots.ledgers.get(&key.endpoint).map_or(0, Ledger::free);
+    let free = state.slots.ledgers.get(&key.endpoint).map_or(0, Ledger::free_slots);
     let lease = u32::try_from(state.local.tuning.slot_lease.as_millis()).unwrap_or(u32::MAX);
     let grant = Grant {
         endpoint: key.endpoint.0,
@@ -196,16 +196,16 @@
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     let had_waiters = !ledger.waiting.is_empty();
     let is_withdrawn = ledger.waiting.remove(key).is_some();
-    let is_ended = !is_withdrawn && ledger.end(key, now.mono).is_some();
+    let is_ended = !is_withdrawn && ledger.end_lease(key, now.mono).is_some();
     if is_ended && release.full {
-        ledger.note_full();
+        ledger.record_full();
     } else if is_ended {
-        ledger.note_served();
+        ledger.record_served();
     }
     let is_freed = is_withdrawn || is_ended;
     if is_freed {
         if had_waiters {
-            ledger.note_move(now.mono);
+            ledger.record_change(now.mono);
         }
         grant_waiting(state, now, endpoint, out);
     }
@@ -230,25 +230,25 @@
 fn expire(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let denial = denial_reason(state, endpoint);
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-    if ledger.learning.as_ref().is_some_and(|l| l.until <= now.mono) {
-        ledger.learning = None;
+    if ledger.rebuild.as_ref().is_some_and(|l| l.deadline <= now.mono) {
+        ledger.rebuild = None;
     }
-    if let Some(learning) = &ledger.learning {
+    if let Some(learning) = &ledger.rebuild {
         // A question or its answer was lost, or is on its way: asking again harms nobody.
         request_holds(endpoint, &learning.missing, out);
     }
-    let expired = ledger.leases.iter().filter(|(_, lease)| lease.until <= now.mono);
+    let expired = ledger.leases.iter().filter(|(_, lease)| lease.expires_at <= now.mono);
     let expired: Vec<_> = expired.map(|(key, _)| *key).collect();
     for key in &expired {
-        ledger.end(*key, now.mono);
+        ledger.end_lease(*key, now.mono);
     }
     if !expired.is_empty() {
         let pairs = vec![("endpoint", endpoint.to_string()), ("leases", expired.len().to_string())];
         out.push(Effect::Progress(Progress::Note { name: "slot_leases_expired", fields: pairs }));
     }
-    let is_ended = |w: &Waiter| denial.is_some() || w.until <= now.mono;
-    let ended = ledger.waiting.take(|_, waiter, _, _| is_ended(waiter));
-    let retry = ledger.behind(now.mono);
+    let is_ended = |w: &Waiter| denial.is_some() || w.deadline <= now.mono;
+    let ended = ledger.waiting.remove_matching(|_, waiter, _, _| is_ended(waiter));
+    let retry = ledger.expected_wait(now.mono);
     let reason = denial.unwrap_or(DenyReason::Full);
     for waiter in ended {
         send_denial(state, waiter.key, waiter.vm, reason, retry, out);
--- a/crates/basilbank_core/src/reduce/slots/takeover.rs
+++ b/crates/basilbank_core/src/reduce/slots/takeover.rs
@@ -10,7 +10,7 @@
     effect::{Effect, EngineCall, Progress},
     ids::{EndpointId, EntryId, RequestId, VmId},
     reduce::{estimate, peer, reserve},
-    state::{Learning, Lease, Ledger, SlotKey, State},
+    state::{Ledger, Rebuild, SlotKey, SlotLease, State},
     time::Now,
 };
 
@@ -37,7 +37,8 @@
     let slots = if known.slots == 0 { u32::MAX } else { known.slots + extra };
     let link_rate = estimate::link_tokens_per_second(state, known);
     if let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) {
-        (ledger.slots, ledger.extra, ledger.rate) = (slots, extra, known.prefill_rate);
+        (ledger.slots, ledger.extra_slots, ledger.prefill_rate) =
+            (slots, extra, known.prefill_rate);
         ledger.link_rate = link_rate;
         return;
     }
@@ -46,14 +47,21 @@
     let missing: BTreeSet<_> = live.filter(|vm| *vm != own).collect();
     let rate = known.prefill_rate;
     let resumable = known.role == Role::Decode;
-    let mut ledger = Ledger { slots, extra, resumable, rate, link_rate, ..Ledger::default() };
+    let mut ledger = Ledger {
+        slots,
+        extra_slots: extra,
+        resumable,
+        prefill_rate: rate,
+        link_rate,
+        ..Ledger::default()
+    };
     request_holds(endpoint, &missing, out);
     // A plain service tells no load, and refuses provably what is too much for it. Learning there
     // would refuse lookups for as long as it takes, to spare a few of them a second call.
     if known.role != Role::Plain {
         out.push(Effect::Engine(EngineCall::ReadLoad { endpoint }));
         let until = now.mono + REBUILD_TIMEOUT;
-        ledger.learning = Some(Learning { missing, unread: true, until });
+        ledger.rebuild = Some(Rebuild { missing, needs_report: true, deadline: until });
     }
     state.slots.ledgers.insert(endpoint, ledger);
     let held = reserve::holds_at(state, endpoint);
@@ -95,19 +103,19 @@
     adopt_leases(state, now, from, holds, out);
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     let listed: BTreeSet<_> = holds.holds.iter().map(|h| (h.request, h.attempt)).collect();
-    let is_ended = |key: &SlotKey, lease: &Lease| {
+    let is_ended = |key: &SlotKey, lease: &SlotLease| {
         let is_listed = listed.contains(&(key.request.0, key.attempt));
-        lease.vm == from && !is_listed && lease.since + GRANT_GRACE < now.mono
+        lease.vm == from && !is_listed && lease.granted_at + GRANT_GRACE < now.mono
     };
     let leases = ledger.leases.iter().filter(|(key, lease)| is_ended(key, lease));
     let ended: Vec<_> = leases.map(|(key, _)| *key).collect();
     for key in ended {
-        ledger.end(key, now.mono);
+        ledger.end_lease(key, now.mono);
     }
-    if let Some(learning) = &mut ledger.learning {
+    if let Some(learning) = &mut ledger.rebuild {
         learning.missing.remove(&from);
     }
-    ledger.learned();
+    ledger.finish_rebuild();
     grant_waiting(state, now, endpoint, out);
 }
 
@@ -120,22 +128,22 @@
         let request = RequestId(hold.request);
         let key = SlotKey { endpoint, request, attempt: hold.attempt };
         if let Some(lease) = ledger.leases.get_mut(&key) {
-            lease.until = until;
+            lease.expires_at = until;
             continue;
         }
         let entry = EntryId(hold.entry);
-        let lease = Lease {
+        let lease = SlotLease {
             vm: from,
             entry,
             tokens: hold.tokens,
-            sent: 0,
-            since: now.mono,
-            until,
-            done: now.mono,
+            transfer_tokens: 0,
+            granted_at: now.mono,
+            expires_at: until,
+            done_at: now.mono,
             lent: false,
-            preempted: None,
+            preempted_at: None,
         };
-        ledger.lease(key, lease);
+        ledger.add_lease(key, lease);
     }
     let excess = ledger.leases.len().saturating_sub(ledger.slots as usize);
     if before < ledger.leases.len() && 0 < excess {
@@ -167,12 +175,12 @@
     let own = state.local.vm;
     let catalogue = state.view.catalogue.clone();
     let owned = catalogue.endpoints.iter().map(|e| e.id);
-    let owned: BTreeSet<_> = owned.filter(|e| state.members.steward(e.0) == Some(own)).collect();
+    let owned: BTreeSet<_> = owned.filter(|e| state.members.owner(e.0) == Some(own)).collect();
     let closed: Vec<_> =
         state.slots.ledgers.keys().filter(|e| !owned.contains(e)).copied().collect();
     for endpoint in closed {
         let Some(mut ledger) = state.slots.ledgers.remove(&endpoint) else { continue };
-        for waiter in ledger.waiting.take(|_, _, _, _| true) {
+        for waiter in ledger.waiting.remove_matching(|_, _, _, _| true) {
             send_denial(state, waiter.key, waiter.vm, DenyReason::NotSteward, Duration::ZERO, out);
         }
     }
--- a/crates/basilbank_core/src/reduce/waste.rs
+++ b/crates/basilbank_core/src/reduce/waste.rs
@@ -20,9 +20,13 @@
 ) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let prefill = match found.stage {
-        AttemptStage::Prefill => now.mono.saturating_sub(found.since),
-        AttemptStage::Move | AttemptStage::Import | AttemptStage::Stream => found.spent,
-        AttemptStage::Slot | AttemptStage::Queue | AttemptStage::Plain => Duration::ZERO,
+        AttemptStage::Prefill => now.mono.saturating_sub(found.stage_since),
+        AttemptStage::Relocating | AttemptStage::Import | AttemptStage::Stream => {
+            found.prefill_time
+        }
+        AttemptStage::WaitingForSlot | AttemptStage::WaitingForPrefill | AttemptStage::Plain => {
+            Duration::ZERO
+        }
     };
     if prefill.is_zero() {
         return;
--- a/crates/basilbank_core/src/state.rs
+++ b/crates/basilbank_core/src/state.rs
@@ -4,48 +4,49 @@
 mod claims;
 mod documents;
 mod health;
-mod lag;
 mod ledger;
 mod limits;
 mod members;
 mod orders;
-mod prefixes;
+mod overrun;
+mod prefix_index;
 mod reaper;
 mod requests;
 pub mod rng;
 mod slots;
 mod timers;
 mod view;
-mod waiting;
+mod wait_queue;
 
 use std::time::Duration;
 
 pub use self::{
     attempt::{Attempt, AttemptStage, KvCache},
     claims::{
-        Ballot, ClaimKey, ClaimPhase, Claims, KeyEntry, KeyTable, OwnClaim, Standing, Tenure,
-        TenureSince, Waited, made_at,
+        ClaimKey, ClaimPhase, ClaimStatus, Claims, KeyEntry, KeyTable, OwnClaim, VoteWait, Voter,
+        VoterHistory, VoterSince, uuid_v7_unix_ms,
     },
     documents::{
-        Accepted, Applied, Check, Currency, Documents, Fetch, Offer, Reader, Shown, Store, Wholes,
+        AcceptedDocuments, AdvertisedRevision, AdvertisedRevisions, ApplyResult, CatalogueCheck,
+        DocumentStore, Documents, Freshness, FullTransfers, PendingFetch, PlatformReader,
     },
-    health::{Aside, Health, Known, Lags},
-    lag::Lag,
-    ledger::{Learning, Lease, Ledger, Seen},
+    health::{EndpointHealth, Exclusion, Health, Overruns},
+    ledger::{Ledger, Rebuild, ReportedLoad, SlotLease},
     limits::{
-        Bucket, Holder, LeaseTerms, LimitDemand, LimitShare, LimitTable, Meter, SharedLimit,
+        Bucket, Holder, LeaseTerms, LimitDemand, LimitShare, LimitTable, RateMeter, SharedLimit,
         Shortage, Usage,
     },
-    members::{Census, Member, Members, Presence, rank},
-    orders::{ModelChange, Orders, Roll, RollStage, Serving, Target},
-    prefixes::Prefixes,
-    reaper::{Cancelled, Reaper, Watch},
+    members::{Member, MemberCount, Members, OwnStatus, rank},
+    orders::{ModelChange, Orders, Rollout, RolloutStage, ServingStatus, ServingTarget},
+    overrun::Overrun,
+    prefix_index::PrefixIndex,
+    reaper::{CancelWatch, CancelledAttempt, Reaper},
     requests::{Request, RequestStage, Requests},
     rng::Rng,
     slots::{OwnSlot, SlotKey, Slots},
     timers::{Timer, Timers},
     view::View,
-    waiting::{Group, Line, Waiter, Waiting},
+    wait_queue::{EntryQueue, Group, WaitQueue, Waiter},
 };
 use crate::{
     ids::{DataCentreId, EndpointId, VmId},
@@ -149,7 +150,7 @@
     /// The earliest moment to exit after that.
     pub exit_at: Duration,
     /// When the daemon started, on the monotonic clock.
-    pub started: Duration,
+    pub started_at: Duration,
 }
 
 impl State {
@@ -181,7 +182,7 @@
             rng,
             leaving: false,
             exit_at: Duration::ZERO,
-            started: now.mono,
+            started_at: now.mono,
             local,
         }
     }
@@ -189,20 +190,20 @@
     /// When the next `Event::Tick` is due, on the monotonic clock.
     #[must_use]
     pub fn wake_at(&self) -> Option<Duration> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
     /// Whether an endpoint is known to be leaving, by the catalogue or by its own word.
     #[must_use]
     pub fn is_leaving(&self, endpoint: EndpointId) -> bool {
         let is_marked = self.view.endpoint(endpoint).is_none_or(|e| e.leaving);
-        is_marked || self.health.known.get(&endpoint).is_some_and(|known| known.leaving)
+        is_marked || self.health.endpoints.get(&endpoint).is_some_and(|known| known.leaving)
     }
 
     /// Whether callers may be sent here: there is a catalogue that peers have not left behind, and
     /// no shutdown.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        !self.leaving && self.documents.currency.current
+        !self.leaving && self.documents.freshness.is_fresh
     }
 }
--- a/crates/basilbank_core/src/state/attempt.rs
+++ b/crates/basilbank_core/src/state/attempt.rs
@@ -17,35 +17,35 @@
     /// What it is doing.
     pub stage: AttemptStage,
     /// Since when.
-    pub since: Duration,
+    pub stage_since: Duration,
     /// Prefill endpoints to be asked later, and when; the next one last.
-    pub plan: Vec<(Duration, EndpointId)>,
+    pub prefill_plan: Vec<(Duration, EndpointId)>,
     /// Endpoints whose stewards denied the slot that it looks for.
     pub denied: Vec<EndpointId>,
     /// Slots that were asked for and not granted yet.
-    pub asks: Vec<SlotKey>,
+    pub reservations: Vec<SlotKey>,
     /// The slot at a decode endpoint or a plain service.
     pub slot: Option<SlotKey>,
     /// The slot at a prefill endpoint.
-    pub prefill: Option<SlotKey>,
+    pub prefill_slot: Option<SlotKey>,
     /// The KV cache that waits to be imported.
-    pub cache: Option<KvCache>,
+    pub kv_cache: Option<KvCache>,
     /// The stream's name at the decode endpoint.
     pub stream: Option<String>,
     /// Tokens that the caller had when the stream's token 0 came.
-    pub base: u32,
+    pub base_offset: u32,
     /// The next token of the stream that is wanted.
-    pub taken: u32,
+    pub next_offset: u32,
     /// When its decode slot was granted.
-    pub placed: Duration,
+    pub decode_granted: Duration,
     /// When its prefill was sent.
-    pub run: Duration,
+    pub prefill_started: Duration,
     /// Estimate of its prefill and transfer.
     pub expected: Duration,
     /// Prefill time spent on it.
-    pub spent: Duration,
+    pub prefill_time: Duration,
     /// When a token last came.
-    pub heard: Duration,
+    pub last_progress: Duration,
     /// It started by reading a stream that a cursor named.
     pub resumed: bool,
     /// Times that its stream was read again since a token last came.
@@ -62,20 +62,20 @@
     /// Its size in bytes.
     pub bytes: u64,
     /// When it is evicted if no decode endpoint takes it.
-    pub until: Duration,
+    pub evicted_at: Duration,
 }
 
 /// What an attempt is doing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptStage {
     /// It waits for a slot at a decode endpoint or a plain service.
-    Slot,
+    WaitingForSlot,
     /// It has a decode slot and waits for one at a prefill endpoint.
-    Queue,
+    WaitingForPrefill,
     /// The prefill runs.
     Prefill,
     /// Its KV cache is there, but its decode slot is not: it waits for another.
-    Move,
+    Relocating,
     /// The decode endpoint imports the KV cache.
     Import,
     /// The decode endpoint streams.
@@ -91,31 +91,31 @@
         Attempt {
             request,
             number,
-            stage: AttemptStage::Slot,
-            since: now,
-            plan: Vec::new(),
+            stage: AttemptStage::WaitingForSlot,
+            stage_since: now,
+            prefill_plan: Vec::new(),
             denied: Vec::new(),
-            asks: Vec::new(),
+            reservations: Vec::new(),
             slot: None,
-            prefill: None,
-            cache: None,
+            prefill_slot: None,
+            kv_cache: None,
             stream: None,
-            base,
-            taken: 0,
-            placed: now,
-            run: now,
+            base_offset: base,
+            next_offset: 0,
+            decode_granted: now,
+            prefill_started: now,
             expected: Duration::ZERO,
-            spent: Duration::ZERO,
-            heard: now,
+            prefill_time: Duration::ZERO,
+            last_progress: now,
             resumed: false,
             rereads: 0,
         }
     }
 
     /// Goes on to a stage.
-    pub fn enter(&mut self, stage: AttemptStage, now: Duration) {
+    pub fn enter_stage(&mut self, stage: AttemptStage, now: Duration) {
         self.stage = stage;
-        self.since = now;
+        self.stage_since = now;
         self.denied.clear();
     }
 
@@ -123,7 +123,7 @@
     #[must_use]
     pub fn endpoint(&self) -> Option<EndpointId> {
         let slot = match self.stage {
-            AttemptStage::Queue | AttemptStage::Prefill => self.prefill,
+            AttemptStage::WaitingForPrefill | AttemptStage::Prefill => self.prefill_slot,
             _ => self.slot,
         };
         slot.map(|s| s.endpoint)
--- a/crates/basilbank_core/src/state/claims.rs
+++ b/crates/basilbank_core/src/state/claims.rs
@@ -3,7 +3,7 @@
 mod claim_key;
 mod key_table;
 mod own_claim;
-mod tenure;
+mod voter_history;
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -11,10 +11,10 @@
 };
 
 pub use self::{
-    claim_key::{ClaimKey, made_at},
+    claim_key::{ClaimKey, uuid_v7_unix_ms},
     key_table::{KeyEntry, KeyTable},
-    own_claim::{Ballot, ClaimPhase, OwnClaim, Standing, Waited},
-    tenure::{Tenure, TenureSince},
+    own_claim::{ClaimPhase, ClaimStatus, OwnClaim, VoteWait, Voter},
+    voter_history::{VoterHistory, VoterSince},
 };
 use crate::ids::RequestId;
 
@@ -24,9 +24,9 @@
     /// Claims of this daemon's requests, until their voters know how they ended.
     pub own: HashMap<RequestId, OwnClaim>,
     /// Keys that this daemon granted as a voter, or heard of.
-    pub table: KeyTable,
+    pub key_table: KeyTable,
     /// For which keys, and since when, this daemon has been a voter.
-    pub tenure: Tenure,
+    pub voter_history: VoterHistory,
     /// Claims that were won, oldest first, with the moment from which nothing may be sent under them.
-    pub unsent: VecDeque<(Duration, RequestId)>,
+    pub send_deadlines: VecDeque<(Duration, RequestId)>,
 }
--- a/crates/basilbank_core/src/state/claims/claim_key.rs
+++ b/crates/basilbank_core/src/state/claims/claim_key.rs
@@ -7,11 +7,11 @@
 /// Length of a hyphenated UUID.
 const UUID_LEN: usize = 36;
 /// Where a hyphenated UUID has its hyphens.
-const HYPHENS: [usize; 4] = [8, 13, 18, 23];
+const HYPHEN_INDICES: [usize; 4] = [8, 13, 18, 23];
 /// Where a hyphenated UUID has its version digit.
-const VERSION: usize = 14;
+const VERSION_INDEX: usize = 14;
 /// Where a hyphenated UUID has its variant digit.
-const VARIANT: usize = 19;
+const VARIANT_INDEX: usize = 19;
 
 /// First 16 bytes of the SHA-256 of a team and an idempotency key, so that no peer learns the key and
 /// two teams never share one.
@@ -48,13 +48,13 @@
 
 /// When a UUIDv7 was made, in milliseconds since the Unix epoch; 0 for any other key.
 #[must_use]
-pub fn made_at(key: &str) -> u64 {
+pub fn uuid_v7_unix_ms(key: &str) -> u64 {
     let bytes = key.as_bytes();
     if bytes.len() != UUID_LEN || !bytes.iter().enumerate().all(|(i, b)| is_uuid_byte(i, *b)) {
         return 0;
     }
-    let is_v7 = bytes[VERSION] == b'7';
-    let is_rfc = matches!(bytes[VARIANT], b'8' | b'9' | b'a' | b'b' | b'A' | b'B');
+    let is_v7 = bytes[VERSION_INDEX] == b'7';
+    let is_rfc = matches!(bytes[VARIANT_INDEX], b'8' | b'9' | b'a' | b'b' | b'A' | b'B');
     if !is_v7 || !is_rfc {
         return 0;
     }
@@ -63,5 +63,5 @@
 }
 
 fn is_uuid_byte(index: usize, byte: u8) -> bool {
-    if HYPHENS.contains(&index) { byte == b'-' } else { byte.is_ascii_hexdigit() }
+    if HYPHEN_INDICES.contains(&index) { byte == b'-' } else { byte.is_ascii_hexdigit() }
 }
--- a/crates/basilbank_core/src/state/claims/key_table.rs
+++ b/crates/basilbank_core/src/state/claims/key_table.rs
@@ -16,7 +16,7 @@
     /// The request that has the key.
     pub record: KeyRecord,
     /// When the key is forgotten.
-    pub expires: Duration,
+    pub expires_at: Duration,
 }
 
 /// All keys that a voter remembers.
@@ -49,8 +49,8 @@
     }
 
     /// Remembers a key, in place of what was known of it.
-    pub fn put(&mut self, key: ClaimKey, record: KeyRecord, expires: Duration) {
-        if self.entries.insert(key, KeyEntry { record, expires }).is_none() {
+    pub fn insert(&mut self, key: ClaimKey, record: KeyRecord, expires: Duration) {
+        if self.entries.insert(key, KeyEntry { record, expires_at: expires }).is_none() {
             self.expiries.push(Reverse((expires, key)));
         }
     }
@@ -61,9 +61,9 @@
     /// and over would leave a place each time, and the table would grow without a live key in it.
     pub fn remove(&mut self, key: &ClaimKey) {
         self.entries.remove(key);
-        if self.expiries.len() > 2 * self.entries.len() + SLACK {
+        if self.expiries.len() > 2 * self.entries.len() + MAX_STALE_EXPIRIES {
             let live = self.entries.iter();
-            self.expiries = live.map(|(key, entry)| Reverse((entry.expires, *key))).collect();
+            self.expiries = live.map(|(key, entry)| Reverse((entry.expires_at, *key))).collect();
         }
     }
 
@@ -74,7 +74,7 @@
                 return;
             }
             self.expiries.pop();
-            match self.entries.get(&key).map(|entry| entry.expires) {
+            match self.entries.get(&key).map(|entry| entry.expires_at) {
                 Some(expires) if mono < expires => self.expiries.push(Reverse((expires, key))),
                 Some(_) => {
                     self.entries.remove(&key);
@@ -86,4 +86,4 @@
 }
 
 /// Places in the order of expiry that may be without a key before they are cleared.
-const SLACK: usize = 64;
+const MAX_STALE_EXPIRIES: usize = 64;
