--- a/crates/basilbank_core/src/state/claims/own_claim.rs
+++ b/crates/basilbank_core/src/state/claims/own_claim.rs
@@ -11,7 +11,7 @@
 
 /// One voter of a claim.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Ballot {
+pub struct Voter {
     /// The voter.
     pub vm: VmId,
     /// It was asked.
@@ -21,19 +21,19 @@
     /// What it knows of another request that has the key.
     pub record: Option<KeyRecord>,
     /// It has confirmed the claim's newest record.
-    pub told: bool,
+    pub acknowledged: bool,
 }
 
-impl Ballot {
+impl Voter {
     /// A voter that was not asked yet.
     #[must_use]
-    pub fn new(vm: VmId) -> Ballot {
-        Ballot { vm, asked: false, verdict: None, record: None, told: false }
+    pub fn new(vm: VmId) -> Voter {
+        Voter { vm, asked: false, verdict: None, record: None, acknowledged: false }
     }
 
     /// Whether it may still grant the key.
     #[must_use]
-    pub fn may_grant(&self) -> bool {
+    pub fn can_grant(&self) -> bool {
         matches!(self.verdict, None | Some(Verdict::Running))
     }
 }
@@ -51,9 +51,9 @@
 
 /// How a claim stands after the votes so far.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Standing {
+pub enum ClaimStatus {
     /// More votes may decide it.
-    Open,
+    Undecided,
     /// The key is this request's.
     Won,
     /// It can't be won; what is known of the request that has the key, if any.
@@ -68,9 +68,9 @@
     /// The key.
     pub key: ClaimKey,
     /// When the key says it was made, milliseconds since the Unix epoch; 0 when it says nothing.
-    pub made: u64,
+    pub key_time: u64,
     /// The voters, in the order of their rank.
-    pub ballots: Vec<Ballot>,
+    pub voters: Vec<Voter>,
     /// How far it is.
     pub phase: ClaimPhase,
     /// Something was sent to an endpoint under it.
@@ -78,54 +78,54 @@
     /// What the voters are told.
     pub record: KeyRecord,
     /// The request whose key this one asks for, as its daemon is gone; 0 for none.
-    pub after: u64,
+    pub predecessor: u64,
     /// When the votes must be there.
     pub deadline: Duration,
     /// Times that the voters were asked or told the current thing.
-    pub sent: u32,
+    pub send_count: u32,
     /// When to ask or tell again.
-    pub due: Duration,
+    pub resend_at: Duration,
 }
 
 impl OwnClaim {
     /// Whether a voter's answer is awaited. One that was not asked, or not since the votes were
     /// forgotten, answers an earlier question.
     #[must_use]
-    pub fn awaits(&self, vm: VmId) -> bool {
-        self.ballots.iter().any(|b| b.vm == vm && b.asked)
+    pub fn is_awaiting(&self, vm: VmId) -> bool {
+        self.voters.iter().any(|b| b.vm == vm && b.asked)
     }
 
     /// Notes a voter's answer.
-    pub fn note_vote(&mut self, vm: VmId, verdict: Verdict, record: Option<KeyRecord>) {
-        let Some(ballot) = self.ballots.iter_mut().find(|b| b.vm == vm) else { return };
+    pub fn record_vote(&mut self, vm: VmId, verdict: Verdict, record: Option<KeyRecord>) {
+        let Some(ballot) = self.voters.iter_mut().find(|b| b.vm == vm) else { return };
         ballot.verdict = Some(verdict);
         ballot.record = record;
     }
 
     /// Notes that a voter knows the newest record.
-    pub fn note_told(&mut self, vm: VmId) {
-        let Some(ballot) = self.ballots.iter_mut().find(|b| b.vm == vm) else { return };
-        ballot.told = true;
+    pub fn record_ack(&mut self, vm: VmId) {
+        let Some(ballot) = self.voters.iter_mut().find(|b| b.vm == vm) else { return };
+        ballot.acknowledged = true;
     }
 
     /// Whether all voters know the newest record.
     #[must_use]
-    pub fn is_told(&self) -> bool {
-        self.ballots.iter().all(|b| b.told || !b.asked)
+    pub fn is_acknowledged(&self) -> bool {
+        self.voters.iter().all(|b| b.acknowledged || !b.asked)
     }
 
     /// Changes what the voters are told.
-    pub fn renew(&mut self) {
-        for ballot in &mut self.ballots {
-            ballot.told = false;
+    pub fn reset_acks(&mut self) {
+        for ballot in &mut self.voters {
+            ballot.acknowledged = false;
         }
-        self.sent = 0;
+        self.send_count = 0;
     }
 
     /// Votes that win the key: a majority of the voters.
     #[must_use]
-    pub fn needed(&self) -> usize {
-        self.ballots.len() / 2 + 1
+    pub fn quorum(&self) -> usize {
+        self.voters.len() / 2 + 1
     }
 
     /// Marks the voters to be asked now, and gives them.
@@ -135,9 +135,9 @@
     /// After that all are asked that have not granted; one that gave the key to another request may
     /// have got it back.
     pub fn next_voters<C: Ord>(&mut self, cost: impl Fn(VmId) -> C) -> Vec<VmId> {
-        let needed = self.needed();
-        let is_first = !self.ballots.iter().any(|b| b.asked);
-        let mut open: Vec<_> = self.ballots.iter_mut().filter(|b| b.may_grant()).collect();
+        let needed = self.quorum();
+        let is_first = !self.voters.iter().any(|b| b.asked);
+        let mut open: Vec<_> = self.voters.iter_mut().filter(|b| b.can_grant()).collect();
         if is_first {
             open.sort_by_key(|b| cost(b.vm));
             open.truncate(needed);
@@ -150,9 +150,9 @@
 
     /// Whether all voters that were asked have answered, and another has not been asked.
     #[must_use]
-    pub fn wants_more(&self) -> bool {
-        let mut asked = self.ballots.iter().filter(|b| b.asked);
-        asked.all(|b| b.verdict.is_some()) && self.ballots.iter().any(|b| !b.asked)
+    pub fn needs_more_voters(&self) -> bool {
+        let mut asked = self.voters.iter().filter(|b| b.asked);
+        asked.all(|b| b.verdict.is_some()) && self.voters.iter().any(|b| !b.asked)
     }
 
     /// How the claim stands. `waited`: the voters that did not answer had the time to.
@@ -161,60 +161,60 @@
     /// is dead, and each would wait for the other's vote until both are refused. So the one that
     /// lost the highest-ranking vote gives way, and the other finds the key free when it asks again.
     #[must_use]
-    pub fn standing(&self, waited: Waited) -> Standing {
+    pub fn status(&self, waited: VoteWait) -> ClaimStatus {
         if let Some(record) = self.winner() {
-            return Standing::Lost(Some(record));
+            return ClaimStatus::Lost(Some(record));
         }
-        let granted = self.count(Some(Verdict::Granted));
-        if self.needed() <= granted {
-            return Standing::Won;
+        let granted = self.count_votes(Some(Verdict::Granted));
+        if self.quorum() <= granted {
+            return ClaimStatus::Won;
         }
-        let silent = self.count(None);
-        let contended = self.count(Some(Verdict::Running));
-        if granted + silent + contended < self.needed() {
-            return Standing::Lost(self.rival());
+        let silent = self.count_votes(None);
+        let contended = self.count_votes(Some(Verdict::Running));
+        if granted + silent + contended < self.quorum() {
+            return ClaimStatus::Lost(self.competing_record());
         }
-        let is_split = contended != 0 && (silent == 0 || waited == Waited::Enough);
-        if is_split && !self.has_first() {
-            return Standing::Lost(self.rival());
+        let is_split = contended != 0 && (silent == 0 || waited == VoteWait::TimedOut);
+        if is_split && !self.has_first_vote() {
+            return ClaimStatus::Lost(self.competing_record());
         }
-        Standing::Open
+        ClaimStatus::Undecided
     }
 
-    fn count(&self, verdict: Option<Verdict>) -> usize {
-        self.ballots.iter().filter(|b| b.verdict == verdict).count()
+    fn count_votes(&self, verdict: Option<Verdict>) -> usize {
+        self.voters.iter().filter(|b| b.verdict == verdict).count()
     }
 
     /// The request that has the key for certain: it was sent somewhere, or it ended, or a majority
     /// of the voters names it.
     fn winner(&self) -> Option<KeyRecord> {
-        let records = || self.ballots.iter().filter_map(|b| b.record.as_ref());
+        let records = || self.voters.iter().filter_map(|b| b.record.as_ref());
         let ended = records().find(|r| r.outcome != 0);
         let streamed = || records().find(|r| !r.stream.is_empty());
         let elected = || {
             let votes = |r: &KeyRecord| records().filter(|o| o.request == r.request).count();
-            records().find(|r| self.needed() <= votes(r))
+            records().find(|r| self.quorum() <= votes(r))
         };
         ended.or_else(streamed).or_else(elected).cloned()
     }
 
     /// Forgets all votes: the voters are to be asked anew.
-    pub fn reopen(&mut self) {
-        for ballot in &mut self.ballots {
-            *ballot = Ballot::new(ballot.vm);
+    pub fn reset_votes(&mut self) {
+        for ballot in &mut self.voters {
+            *ballot = Voter::new(ballot.vm);
         }
-        self.sent = 0;
+        self.send_count = 0;
     }
 
     /// Another request that a voter names.
     #[must_use]
-    pub fn rival(&self) -> Option<KeyRecord> {
-        self.ballots.iter().find_map(|b| b.record.clone())
+    pub fn competing_record(&self) -> Option<KeyRecord> {
+        self.voters.iter().find_map(|b| b.record.clone())
     }
 
     /// Whether the highest-ranking vote that was given to any request was given to this one.
-    fn has_first(&self) -> bool {
-        let mut given = self.ballots.iter().filter_map(|b| b.verdict);
+    fn has_first_vote(&self) -> bool {
+        let mut given = self.voters.iter().filter_map(|b| b.verdict);
         let first = given.find(|v| matches!(v, Verdict::Granted | Verdict::Running));
         first == Some(Verdict::Granted)
     }
@@ -222,9 +222,9 @@
 
 /// Whether the voters that have not answered had the time to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Waited {
+pub enum VoteWait {
     /// Their answers may be on the way.
-    Little,
+    Pending,
     /// A whole peer timeout has passed.
-    Enough,
+    TimedOut,
 }
--- a/crates/basilbank_core/src/state/claims/tenure.rs
+++ b/crates/basilbank_core/src/state/claims/voter_history.rs
@@ -6,18 +6,18 @@
     ids::VmId,
     state::{
         Members,
-        members::{VOTERS, rank},
+        members::{VOTERS_PER_KEY, rank},
     },
     time::Now,
 };
 
 /// Lists remembered. A list that changes more often within one key window makes voters look younger
 /// than they are, which is safe.
-const MOST_LISTS: usize = 64;
+const MAX_LISTS: usize = 64;
 
 /// Since when a daemon has been a voter of a key, without a gap.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct TenureSince {
+pub struct VoterSince {
     /// On the monotonic clock.
     pub mono: Duration,
     /// On the wall clock, milliseconds since the Unix epoch.
@@ -25,8 +25,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct HeldList {
-    since: TenureSince,
+struct VmListPeriod {
+    since: VoterSince,
     vms: Vec<VmId>,
 }
 
@@ -36,28 +36,28 @@
 /// Without it a VM that came up, or that a change of the list made a voter, would take a key that was
 /// granted before its time for a new one, and the key's request would run a second time.
 #[derive(Clone, Debug, Default)]
-pub struct Tenure {
-    lists: VecDeque<HeldList>,
+pub struct VoterHistory {
+    lists: VecDeque<VmListPeriod>,
 }
 
-impl Tenure {
+impl VoterHistory {
     /// Takes in the platform's list as it is now known.
     pub fn update(&mut self, now: Now, window: Duration, members: &Members) {
         let vms = members.all.keys().copied();
         if self.lists.back().is_some_and(|last| vms.clone().eq(last.vms.iter().copied())) {
             return;
         }
-        let since = TenureSince { mono: now.mono, wall: now.unix_ms() };
-        self.lists.push_back(HeldList { since, vms: vms.collect() });
-        let ended_before = |second: &HeldList| second.since.mono + window < now.mono;
-        while self.lists.get(1).is_some_and(ended_before) || self.lists.len() > MOST_LISTS {
+        let since = VoterSince { mono: now.mono, wall: now.unix_ms() };
+        self.lists.push_back(VmListPeriod { since, vms: vms.collect() });
+        let ended_before = |second: &VmListPeriod| second.since.mono + window < now.mono;
+        while self.lists.get(1).is_some_and(ended_before) || self.lists.len() > MAX_LISTS {
             self.lists.pop_front();
         }
     }
 
     /// Since when `own` has been among the voters of a subject; `None` when it is not among them now.
     #[must_use]
-    pub fn since(&self, own: VmId, subject: u64) -> Option<TenureSince> {
+    pub fn voter_since(&self, own: VmId, subject: u64) -> Option<VoterSince> {
         let newest_first = self.lists.iter().rev();
         let held = newest_first.take_while(|list| is_voter(&list.vms, own, subject));
         held.last().map(|list| list.since)
@@ -67,5 +67,5 @@
 fn is_voter(vms: &[VmId], own: VmId, subject: u64) -> bool {
     let own_rank = rank(own, subject);
     let above = vms.iter().filter(|vm| own_rank < rank(**vm, subject)).count();
-    vms.binary_search(&own).is_ok() && above < VOTERS
+    vms.binary_search(&own).is_ok() && above < VOTERS_PER_KEY
 }
--- a/crates/basilbank_core/src/state/documents.rs
+++ b/crates/basilbank_core/src/state/documents.rs
@@ -10,10 +10,10 @@
 use basilbank_wire::VmList;
 
 pub use self::{
-    accepted::{Accepted, Check},
-    fetch::{Fetch, Offer, Shown},
-    reader::Reader,
-    store::{Applied, Store},
+    accepted::{AcceptedDocuments, CatalogueCheck},
+    fetch::{AdvertisedRevision, AdvertisedRevisions, PendingFetch},
+    reader::PlatformReader,
+    store::{ApplyResult, DocumentStore},
 };
 
 /// The catalogue's documents and the VM list, with their revisions, and how far they have spread.
@@ -24,38 +24,38 @@
 #[derive(Debug, Default)]
 pub struct Documents {
     /// The documents.
-    pub store: Store,
+    pub store: DocumentStore,
     /// The documents of the catalogue in force, where they differ.
-    pub accepted: Accepted,
+    pub accepted: AcceptedDocuments,
     /// The VM list.
     pub vms: VmList,
     /// The highest revisions that peers have shown.
-    pub shown: Shown,
+    pub advertised: AdvertisedRevisions,
     /// Documents asked for at a peer.
-    pub fetch: Fetch,
+    pub fetch: PendingFetch,
     /// The VM list asked for at a peer.
-    pub vms_fetch: Fetch,
+    pub vms_fetch: PendingFetch,
     /// Reads of the catalogue from the platform.
-    pub watch: Reader,
+    pub catalogue_reader: PlatformReader,
     /// Reads of the VM list from the platform.
-    pub list: Reader,
+    pub vms_reader: PlatformReader,
     /// When the platform last confirmed, here or elsewhere, that the documents are the newest.
-    pub confirmed: Option<Duration>,
+    pub confirmed_at: Option<Duration>,
     /// New revisions are still to be told to peers.
-    pub untold: bool,
+    pub unreported: bool,
     /// When peers were last told of new revisions.
-    pub told: Duration,
+    pub reported_at: Duration,
     /// Whole catalogues sent to peers within the second that starts here.
-    pub wholes: Wholes,
+    pub full_transfers: FullTransfers,
     /// Whether callers may be served by the catalogue in force.
-    pub currency: Currency,
+    pub freshness: Freshness,
 }
 
 /// Whole catalogues sent to peers, to bound what a mass restart costs one daemon.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Wholes {
+pub struct FullTransfers {
     /// When the current second began.
-    pub since: Duration,
+    pub second_start: Duration,
     /// Whole catalogues in it.
     pub sent: u32,
 }
@@ -66,10 +66,10 @@
 /// It would show in a caller whose key was withdrawn minutes ago and is served all the same. So it
 /// serves nobody new until it has heard its peers, or knows that it can't.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Currency {
+pub struct Freshness {
     /// Callers may be served.
-    pub current: bool,
+    pub is_fresh: bool,
     /// Without news from peers until this moment it goes by what it has; `None` before the VM list
     /// is known.
-    pub patience: Option<Duration>,
+    pub peer_deadline: Option<Duration>,
 }
--- a/crates/basilbank_core/src/state/documents/fetch.rs
+++ b/crates/basilbank_core/src/state/documents/fetch.rs
@@ -8,15 +8,15 @@
 
 /// A revision, and a peer that has it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Offer {
+pub struct AdvertisedRevision {
     /// The revision.
     pub revision: u64,
     /// The peer that showed it last.
     pub from: VmId,
 }
 
-impl Offer {
-    fn merge(&mut self, other: Offer) {
+impl AdvertisedRevision {
+    fn merge(&mut self, other: AdvertisedRevision) {
         if self.revision <= other.revision {
             *self = other;
         }
@@ -25,21 +25,21 @@
 
 /// Revisions that a peer has shown, or the highest that any has.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Shown {
+pub struct AdvertisedRevisions {
     /// Of a catalogue in force.
-    pub catalogue: Offer,
+    pub catalogue: AdvertisedRevision,
     /// Of documents.
-    pub documents: Offer,
+    pub documents: AdvertisedRevision,
     /// Of the VM list.
-    pub vms: Offer,
+    pub vms: AdvertisedRevision,
 }
 
-impl Shown {
+impl AdvertisedRevisions {
     /// What one peer's heartbeat shows.
     #[must_use]
-    pub fn by(from: VmId, beat: &Heartbeat) -> Shown {
-        let offer = |revision| Offer { revision, from };
-        Shown {
+    pub fn from_heartbeat(from: VmId, beat: &Heartbeat) -> AdvertisedRevisions {
+        let offer = |revision| AdvertisedRevision { revision, from };
+        AdvertisedRevisions {
             catalogue: offer(beat.catalogue),
             documents: offer(beat.documents),
             vms: offer(beat.vms),
@@ -47,7 +47,7 @@
     }
 
     /// Takes over what is as high or higher.
-    pub fn merge(&mut self, other: &Shown) {
+    pub fn merge(&mut self, other: &AdvertisedRevisions) {
         self.catalogue.merge(other.catalogue);
         self.documents.merge(other.documents);
         self.vms.merge(other.vms);
@@ -56,15 +56,15 @@
 
 /// A question to a peer that may be open.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Fetch {
+pub struct PendingFetch {
     /// When it was asked.
-    pub since: Option<Duration>,
+    pub asked_at: Option<Duration>,
 }
 
-impl Fetch {
+impl PendingFetch {
     /// Whether one may ask now, because no answer is awaited any more.
     #[must_use]
-    pub fn is_idle(&self, mono: Duration, timeout: Duration) -> bool {
-        self.since.is_none_or(|since| timeout <= mono.saturating_sub(since))
+    pub fn can_ask(&self, mono: Duration, timeout: Duration) -> bool {
+        self.asked_at.is_none_or(|since| timeout <= mono.saturating_sub(since))
     }
 }
--- a/crates/basilbank_core/src/state/documents/store.rs
+++ b/crates/basilbank_core/src/state/documents/store.rs
@@ -5,15 +5,15 @@
 use basilbank_wire::{CatalogueDelta, Document};
 
 /// Removed documents that are remembered, so that peers can be told of the removal alone.
-const MOST_REMOVED: usize = 1024;
+const MAX_TOMBSTONES: usize = 1024;
 
 /// What became of documents that came.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Applied {
+pub enum ApplyResult {
     /// They are older than what is known, and were dropped.
     Stale,
     /// Nothing is new.
-    Same,
+    Unchanged,
     /// They apply to a revision that is not known here, and were dropped.
     Gap,
     /// They are known now. Holds the former versions of what changed; `None` for a new document.
@@ -22,49 +22,49 @@
 
 /// The documents of one revision.
 #[derive(Clone, Debug, Default)]
-pub struct Store {
+pub struct DocumentStore {
     /// Their revision; 0 when there are none.
     pub revision: u64,
     documents: BTreeMap<String, Document>,
-    removed: usize,
-    floor: u64,
+    tombstones: usize,
+    history_start: u64,
 }
 
-impl Store {
+impl DocumentStore {
     /// Takes documents in that lead from one revision to another; `after` is 0 when they are the
     /// whole. Each document carries the revision of its own last change, so a delta that starts
     /// before the known revision does no harm.
-    pub fn apply(&mut self, after: u64, revision: u64, documents: Vec<Document>) -> Applied {
+    pub fn apply(&mut self, after: u64, revision: u64, documents: Vec<Document>) -> ApplyResult {
         if revision < self.revision {
-            return Applied::Stale;
+            return ApplyResult::Stale;
         }
         if revision == self.revision {
-            return Applied::Same;
+            return ApplyResult::Unchanged;
         }
         if self.revision < after {
-            return Applied::Gap;
+            return ApplyResult::Gap;
         }
         let mut former = BTreeMap::new();
         if after == 0 {
-            self.remove_others(&documents, revision, &mut former);
+            self.remove_missing(&documents, revision, &mut former);
         }
         if self.revision == 0 {
             // Nothing is known of what was removed before.
-            self.floor = revision;
+            self.history_start = revision;
         }
         for document in documents {
             self.put(document, &mut former);
         }
         self.revision = revision;
-        self.forget();
-        Applied::Changed(former)
+        self.prune_tombstones();
+        ApplyResult::Changed(former)
     }
 
     /// What leads from a revision to this one. The whole if removals since then are forgotten.
     #[must_use]
-    pub fn since(&self, after: u64) -> CatalogueDelta {
-        if after == 0 || after < self.floor {
-            return CatalogueDelta { after: 0, revision: self.revision, documents: self.whole() };
+    pub fn delta_since(&self, after: u64) -> CatalogueDelta {
+        if after == 0 || after < self.history_start {
+            return CatalogueDelta { after: 0, revision: self.revision, documents: self.all() };
         }
         let changed = self.documents.values().filter(|d| after < d.revision);
         CatalogueDelta { after, revision: self.revision, documents: changed.cloned().collect() }
@@ -72,7 +72,7 @@
 
     /// All documents.
     #[must_use]
-    pub fn whole(&self) -> Vec<Document> {
+    pub fn all(&self) -> Vec<Document> {
         self.documents.values().filter(|d| d.text.is_some()).cloned().collect()
     }
 
@@ -89,7 +89,7 @@
         self.documents.values().map(size).sum()
     }
 
-    fn remove_others(
+    fn remove_missing(
         &mut self,
         kept: &[Document],
         revision: u64,
@@ -109,22 +109,22 @@
             return;
         }
         let was_removed = known.is_some_and(|k| k.text.is_none());
-        self.removed -= usize::from(was_removed);
-        self.removed += usize::from(document.text.is_none());
+        self.tombstones -= usize::from(was_removed);
+        self.tombstones += usize::from(document.text.is_none());
         let key = document.key.clone();
         let old = self.documents.insert(key.clone(), document);
         former.entry(key).or_insert(old.filter(|d| d.text.is_some()));
     }
 
     /// Forgets the removals that are longest ago when there are too many.
-    fn forget(&mut self) {
-        while MOST_REMOVED < self.removed {
+    fn prune_tombstones(&mut self) {
+        while MAX_TOMBSTONES < self.tombstones {
             let removed = self.documents.values().filter(|d| d.text.is_none());
             let Some(oldest) = removed.min_by_key(|d| d.revision) else { return };
             let (key, revision) = (oldest.key.clone(), oldest.revision);
             self.documents.remove(&key);
-            self.removed -= 1;
-            self.floor = self.floor.max(revision);
+            self.tombstones -= 1;
+            self.history_start = self.history_start.max(revision);
         }
     }
 }
--- a/crates/basilbank_core/src/state/limits.rs
+++ b/crates/basilbank_core/src/state/limits.rs
@@ -2,8 +2,8 @@
 
 mod bucket;
 mod lease;
-mod meter;
 mod portion;
+mod rate_meter;
 mod shared;
 mod usage;
 
@@ -12,7 +12,7 @@
 pub use self::{
     bucket::Bucket,
     lease::{LimitDemand, LimitShare},
-    meter::Meter,
+    rate_meter::RateMeter,
     shared::{Holder, LeaseTerms, SharedLimit, Shortage},
     usage::Usage,
 };
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct LimitTable {
     /// Entries that this daemon's callers used lately.
-    pub used: HashMap<EntryId, Usage>,
+    pub usages: HashMap<EntryId, Usage>,
     /// Entries that this daemon shares out among all.
     pub shared: HashMap<EntryId, SharedLimit>,
 }
--- a/crates/basilbank_core/src/state/limits/lease.rs
+++ b/crates/basilbank_core/src/state/limits/lease.rs
@@ -7,7 +7,7 @@
 use crate::catalogue::Limits;
 
 /// Requests a second are told in thousandths.
-const MILLI: f64 = 1000.0;
+const THOUSANDTHS: f64 = 1000.0;
 
 /// How much of an entry is wanted. All zero for a daemon that only tells what it took.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
@@ -23,24 +23,24 @@
 impl LimitDemand {
     /// What a message says.
     #[must_use]
-    pub fn of(ask: &AskLimit) -> LimitDemand {
+    pub fn from_ask(ask: &AskLimit) -> LimitDemand {
         LimitDemand {
-            requests: ask.requests as f64 / MILLI,
+            requests: ask.requests as f64 / THOUSANDTHS,
             tokens: ask.tokens as f64,
             concurrent: u32::try_from(ask.concurrent).unwrap_or(u32::MAX),
         }
     }
 
     /// Writes it into a message.
-    pub fn write(&self, ask: &mut AskLimit) {
-        ask.requests = (self.requests * MILLI).ceil() as u64;
+    pub fn write_to(&self, ask: &mut AskLimit) {
+        ask.requests = (self.requests * THOUSANDTHS).ceil() as u64;
         ask.tokens = self.tokens.ceil() as u64;
         ask.concurrent = u64::from(self.concurrent);
     }
 
     /// The mean of two rates; requests in progress as the later one says.
     #[must_use]
-    pub fn mean(&self, later: &LimitDemand) -> LimitDemand {
+    pub fn average_with(&self, later: &LimitDemand) -> LimitDemand {
         LimitDemand {
             requests: (self.requests + later.requests) / 2.0,
             tokens: (self.tokens + later.tokens) / 2.0,
@@ -79,17 +79,17 @@
 
     /// What a message says.
     #[must_use]
-    pub fn of(lease: &LimitLease) -> LimitShare {
+    pub fn from_lease(lease: &LimitLease) -> LimitShare {
         LimitShare {
-            requests: lease.requests as f64 / MILLI,
+            requests: lease.requests as f64 / THOUSANDTHS,
             tokens: lease.tokens as f64,
             concurrent: u32::try_from(lease.concurrent).unwrap_or(u32::MAX),
         }
     }
 
     /// Writes it into a message, rounded down so that all parts together stay within the whole.
-    pub fn write(&self, lease: &mut LimitLease, ttl: Duration) {
-        lease.requests = (self.requests * MILLI) as u64;
+    pub fn write_to(&self, lease: &mut LimitLease, ttl: Duration) {
+        lease.requests = (self.requests * THOUSANDTHS) as u64;
         lease.tokens = self.tokens as u64;
         lease.concurrent = u64::from(self.concurrent);
         lease.ttl = u32::try_from(ttl.as_millis()).unwrap_or(u32::MAX);
--- a/crates/basilbank_core/src/state/limits/meter.rs
+++ b/crates/basilbank_core/src/state/limits/rate_meter.rs
@@ -3,33 +3,33 @@
 use std::time::Duration;
 
 /// What is left of a sum when the next thing comes counts as nothing: a new run begins.
-const NOTHING: f64 = 0.05;
+const NEGLIGIBLE_SUM: f64 = 0.05;
 /// A run counts as at least this share of the span, or its first call would look like a flood.
-const LEAST: f64 = 0.25;
+const MIN_SPAN_FRACTION: f64 = 0.25;
 
 /// Measures how much comes in a second, over about the last `SPAN` seconds.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub struct Meter<const SPAN: u32> {
+pub struct RateMeter<const SPAN: u32> {
     sum: f64,
-    at: Duration,
-    since: Duration,
+    updated_at: Duration,
+    started_at: Duration,
 }
 
-impl<const SPAN: u32> Meter<SPAN> {
+impl<const SPAN: u32> RateMeter<SPAN> {
     /// Something comes.
     pub fn add(&mut self, amount: f64, mono: Duration) {
         let left = self.sum(mono);
-        if left < NOTHING {
-            self.since = mono;
+        if left < NEGLIGIBLE_SUM {
+            self.started_at = mono;
         }
         self.sum = left + amount;
-        self.at = mono;
+        self.updated_at = mono;
     }
 
     /// What came, the older the less.
     #[must_use]
     pub fn sum(&self, mono: Duration) -> f64 {
-        let passed = mono.saturating_sub(self.at).as_secs_f64();
+        let passed = mono.saturating_sub(self.updated_at).as_secs_f64();
         self.sum * (-passed / f64::from(SPAN)).exp()
     }
 
@@ -42,8 +42,8 @@
     /// How much comes in a second since it began to come, if that was not long ago: what had not
     /// begun yet is not averaged in.
     #[must_use]
-    pub fn fresh_rate(&self, mono: Duration) -> f64 {
-        let passed = mono.saturating_sub(self.since).as_secs_f64() / f64::from(SPAN);
-        self.rate(mono) / (1.0 - (-passed.max(LEAST)).exp())
+    pub fn rate_since_start(&self, mono: Duration) -> f64 {
+        let passed = mono.saturating_sub(self.started_at).as_secs_f64() / f64::from(SPAN);
+        self.rate(mono) / (1.0 - (-passed.max(MIN_SPAN_FRACTION)).exp())
     }
 }
--- a/crates/basilbank_core/src/state/limits/shared.rs
+++ b/crates/basilbank_core/src/state/limits/shared.rs
@@ -3,23 +3,23 @@
 use std::time::Duration;
 
 use super::{
-    Bucket, LimitDemand, LimitShare, Meter,
-    portion::{BUSY, Portion, Portions, SPARE},
+    Bucket, LimitDemand, LimitShare, RateMeter,
+    portion::{Portion, Portions, SHORTAGE_FRACTION, SPARE_FRACTION},
 };
 use crate::{catalogue::Limits, ids::VmId, reason::Refusal};
 
 /// A daemon's report is forgotten after this; those with requests in progress report more often.
-const FORGET: Duration = Duration::from_secs(25);
+const REPORT_RETENTION: Duration = Duration::from_secs(25);
 /// With what comes in this many seconds left over, there is plenty.
-const LEFT: f64 = 0.1;
+const AMPLE_SECONDS: f64 = 0.1;
 /// A lease is for at least this many requests while it lasts, or at once.
-const WORTH: f64 = 3.0;
+const MIN_LEASE_REQUESTS: f64 = 3.0;
 /// Seconds that a lease lasts.
-const LEASE: f64 = 2.0;
+const LEASE_SECONDS: f64 = 2.0;
 /// Bursts are what comes in this many seconds, and at least two requests.
-const BURST: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 /// Least burst, in requests.
-const LEAST_BURST: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 
 /// One daemon's use of an entry.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -31,11 +31,11 @@
     /// What is leased to it.
     pub share: LimitShare,
     /// Until when; past for one without a lease.
-    pub until: Duration,
+    pub lease_until: Duration,
     /// Requests that it has in progress.
     pub running: u32,
     /// When it reported last.
-    pub at: Duration,
+    pub reported_at: Duration,
 }
 
 /// One entry's limits, as its steward shares them out.
@@ -49,8 +49,8 @@
     holders: Vec<Holder>,
     requests: Bucket,
     tokens: Bucket,
-    sparse_requests: Meter<2>,
-    sparse_tokens: Meter<2>,
+    sparse_requests: RateMeter<2>,
+    sparse_tokens: RateMeter<2>,
 }
 
 /// What a steward goes by when it leases.
@@ -61,9 +61,9 @@
     /// The limits.
     pub limits: &'a Limits,
     /// The limits over the number of listed VMs.
-    pub part: &'a LimitShare,
+    pub per_vm: &'a LimitShare,
     /// Most that may be leased.
-    pub most: Option<&'a LimitShare>,
+    pub max_lease: Option<&'a LimitShare>,
     /// The current moment.
     pub mono: Duration,
 }
@@ -92,29 +92,38 @@
         SharedLimit {
             since: mono,
             holders: Vec::new(),
-            requests: Bucket::full(LEAST_BURST, mono),
-            tokens: Bucket::full(LEAST_BURST, mono),
-            sparse_requests: Meter::default(),
-            sparse_tokens: Meter::default(),
+            requests: Bucket::full(MIN_BURST, mono),
+            tokens: Bucket::full(MIN_BURST, mono),
+            sparse_requests: RateMeter::default(),
+            sparse_tokens: RateMeter::default(),
         }
     }
 
     /// Takes a daemon's report in.
-    pub fn report(&mut self, vm: VmId, demand: LimitDemand, running: u32, mono: Duration) {
-        self.holders.retain(|h| mono < h.at + FORGET && (0 < h.running || mono < h.until));
+    pub fn update_holder(&mut self, vm: VmId, demand: LimitDemand, running: u32, mono: Duration) {
+        self.holders.retain(|h| {
+            mono < h.reported_at + REPORT_RETENTION && (0 < h.running || mono < h.lease_until)
+        });
         let place = self.holders.iter().position(|h| h.vm == vm).unwrap_or_else(|| {
             let (share, until) = (LimitShare::default(), Duration::ZERO);
-            self.holders.push(Holder { vm, demand, share, until, running, at: mono });
+            self.holders.push(Holder {
+                vm,
+                demand,
+                share,
+                lease_until: until,
+                running,
+                reported_at: mono,
+            });
             self.holders.len() - 1
         });
         let holder = &mut self.holders[place];
         // Daemons ask when they have just had more calls than usual, so what they say is too high.
-        let is_renewal = mono < holder.until && holder.demand.wants_lease();
-        holder.demand = if is_renewal { holder.demand.mean(&demand) } else { demand };
+        let is_renewal = mono < holder.lease_until && holder.demand.wants_lease();
+        holder.demand = if is_renewal { holder.demand.average_with(&demand) } else { demand };
         holder.running = running;
-        holder.at = mono;
+        holder.reported_at = mono;
         if !demand.wants_lease() {
-            holder.until = Duration::ZERO;
+            holder.lease_until = Duration::ZERO;
             holder.share = LimitShare::default();
         }
     }
@@ -129,7 +138,7 @@
     }
 
     /// Takes what a daemon took beyond its lease, though it may be used up: it is owed.
-    pub fn owe(&mut self, requests: u32, tokens: i64) {
+    pub fn overdraw(&mut self, requests: u32, tokens: i64) {
         self.requests.level -= f64::from(requests);
         self.tokens.level -= tokens as f64;
     }
@@ -138,10 +147,10 @@
     #[must_use]
     pub fn is_ample(&self, limits: &Limits, mono: Duration) -> bool {
         let wanted = self.wanted(None, mono);
-        let requests = wanted.requests <= limits.requests * BUSY
-            && (limits.requests * LEFT).max(LEAST_BURST) <= self.requests.level;
-        let tokens =
-            wanted.tokens <= limits.tokens * BUSY && limits.tokens * LEFT <= self.tokens.level;
+        let requests = wanted.requests <= limits.requests * SHORTAGE_FRACTION
+            && (limits.requests * AMPLE_SECONDS).max(MIN_BURST) <= self.requests.level;
+        let tokens = wanted.tokens <= limits.tokens * SHORTAGE_FRACTION
+            && limits.tokens * AMPLE_SECONDS <= self.tokens.level;
         (limits.requests <= 0.0 || requests) && (limits.tokens <= 0.0 || tokens)
     }
 
@@ -159,13 +168,13 @@
         self.sparse_requests.add(f64::from(requests), mono);
         self.sparse_tokens.add(tokens.max(0) as f64, mono);
         if 0 < requests {
-            self.check(limits, mono)?;
+            self.check_available(limits, mono)?;
         }
-        self.owe(requests, tokens);
+        self.overdraw(requests, tokens);
         Ok(())
     }
 
-    fn check(&self, limits: &Limits, mono: Duration) -> Result<(), Refusal> {
+    fn check_available(&self, limits: &Limits, mono: Duration) -> Result<(), Refusal> {
         let committed = self.committed(None, mono);
         if 0 < limits.concurrent && f64::from(limits.concurrent) < committed {
             return Err(Refusal::ConcurrentLimit);
@@ -185,24 +194,24 @@
     pub fn lease(&mut self, terms: &LeaseTerms<'_>, until: Duration) -> Option<LimitShare> {
         let all = self.portions(terms)?;
         let mean_tokens = all.tokens.demand / all.requests.demand.max(f64::MIN_POSITIVE);
-        let is_worth = all.requests.is_worth(WORTH / LEASE)
-            && all.tokens.is_worth(WORTH / LEASE * mean_tokens)
-            && all.slots.is_worth(WORTH);
+        let is_worth = all.requests.is_worthwhile(MIN_LEASE_REQUESTS / LEASE_SECONDS)
+            && all.tokens.is_worthwhile(MIN_LEASE_REQUESTS / LEASE_SECONDS * mean_tokens)
+            && all.slots.is_worthwhile(MIN_LEASE_REQUESTS);
         if !is_worth {
             return None;
         }
-        let slots = all.slots.size() as u32;
-        Some(self.grant(terms.vm, all.requests.size(), all.tokens.size(), slots, until))
+        let slots = all.slots.lease_size() as u32;
+        Some(self.grant(terms.vm, all.requests.lease_size(), all.tokens.lease_size(), slots, until))
     }
 
     /// Leases a daemon its part however small, while more is wanted than there is. Its calls are
     /// few, so the lease has to last until one of them comes.
     pub fn ration(&mut self, terms: &LeaseTerms<'_>, until: Duration) -> LimitShare {
         let Some(all) = self.portions(terms) else { return LimitShare::default() };
-        let running = self.running(terms.vm);
-        let is_free = all.slots.taken + f64::from(running) < all.slots.limit;
+        let running = self.running_requests(terms.vm);
+        let is_free = all.slots.leased + f64::from(running) < all.slots.limit;
         let slots = running + u32::from(is_free);
-        self.grant(terms.vm, all.requests.ration(), all.tokens.ration(), slots, until)
+        self.grant(terms.vm, all.requests.ration_size(), all.tokens.ration_size(), slots, until)
     }
 
     /// Whether more is wanted than there is.
@@ -213,9 +222,9 @@
         }
         let wanted = self.wanted(None, mono);
         let requests = 0.0 < limits.requests
-            && (self.requests.level < 1.0 || limits.requests * BUSY < wanted.requests);
+            && (self.requests.level < 1.0 || limits.requests * SHORTAGE_FRACTION < wanted.requests);
         let tokens = 0.0 < limits.tokens
-            && (self.tokens.level <= 0.0 || limits.tokens * BUSY < wanted.tokens);
+            && (self.tokens.level <= 0.0 || limits.tokens * SHORTAGE_FRACTION < wanted.tokens);
         (requests || tokens).then_some(Shortage::Rate)
     }
 
@@ -232,67 +241,68 @@
         };
         let share = LimitShare { requests, tokens, concurrent: slots.max(holder.running) };
         holder.share = share;
-        holder.until = until;
+        holder.lease_until = until;
         share
     }
 
-    fn running(&self, vm: VmId) -> u32 {
+    fn running_requests(&self, vm: VmId) -> u32 {
         self.holders.iter().find(|h| h.vm == vm).map_or(0, |h| h.running)
     }
 
     fn portions(&mut self, terms: &LeaseTerms<'_>) -> Option<Portions> {
-        let LeaseTerms { vm, limits, part, most, mono } = *terms;
+        let LeaseTerms { vm, limits, per_vm, max_lease, mono } = *terms;
         let wanted = self.wanted(Some(vm), mono);
         let taken = self.leased(Some(vm), mono);
         let committed = self.committed(Some(vm), mono);
         let even = 1.0 / (self.holders.len() + 1) as f64;
         let holder = self.holders.iter_mut().find(|h| h.vm == vm)?;
-        holder.until = Duration::ZERO;
+        holder.lease_until = Duration::ZERO;
         let demand = holder.demand;
-        let most = |of: fn(&LimitShare) -> f64| most.map_or(f64::MAX, of);
+        let most = |of: fn(&LimitShare) -> f64| max_lease.map_or(f64::MAX, of);
         Some(Portions {
             requests: Portion {
                 limit: limits.requests,
                 demand: demand.requests,
                 wanted: wanted.requests,
-                taken: taken.requests,
-                even,
-                part: part.requests,
-                most: most(|m| m.requests),
+                leased: taken.requests,
+                equal_fraction: even,
+                per_vm: per_vm.requests,
+                max_lease: most(|m| m.requests),
             },
             tokens: Portion {
                 limit: limits.tokens,
                 demand: demand.tokens,
                 wanted: wanted.tokens,
-                taken: taken.tokens,
-                even,
-                part: part.tokens,
-                most: most(|m| m.tokens),
+                leased: taken.tokens,
+                equal_fraction: even,
+                per_vm: per_vm.tokens,
+                max_lease: most(|m| m.tokens),
             },
             slots: Portion {
                 limit: f64::from(limits.concurrent),
                 demand: f64::from(demand.concurrent),
                 wanted: wanted.concurrent,
-                taken: committed,
-                even,
-                part: f64::from(part.concurrent),
-                most: most(|m| f64::from(m.concurrent)),
+                leased: committed,
+                equal_fraction: even,
+                per_vm: f64::from(per_vm.concurrent),
+                max_lease: most(|m| f64::from(m.concurrent)),
             },
         })
     }
 
     /// Whether nearly all is leased, so that a daemon that wants more should ask again soon.
     #[must_use]
-    pub fn is_short(&self, limits: &Limits, mono: Duration) -> bool {
+    pub fn is_nearly_leased(&self, limits: &Limits, mono: Duration) -> bool {
         let leased = self.leased(None, mono);
-        let is_gone = |limit: f64, leased: f64| 0.0 < limit && limit * (1.0 - SPARE / 2.0) < leased;
+        let is_gone =
+            |limit: f64, leased: f64| 0.0 < limit && limit * (1.0 - SPARE_FRACTION / 2.0) < leased;
         is_gone(limits.requests, leased.requests) || is_gone(limits.tokens, leased.tokens)
     }
 
     /// Whether nobody uses it any more.
     #[must_use]
     pub fn is_idle(&self, mono: Duration) -> bool {
-        self.holders.iter().all(|h| h.at + FORGET < mono)
+        self.holders.iter().all(|h| h.reported_at + REPORT_RETENTION < mono)
     }
 
     /// Daemons that use it.
@@ -310,7 +320,7 @@
             concurrent: 0.0,
         };
         for holder in &self.holders {
-            let has_lease = mono < holder.until || Some(holder.vm) == but;
+            let has_lease = mono < holder.lease_until || Some(holder.vm) == but;
             let demand = if has_lease { holder.demand } else { LimitDemand::default() };
             total.requests += demand.requests;
             total.tokens += demand.tokens;
@@ -321,7 +331,7 @@
 
     fn leased(&self, but: Option<VmId>, mono: Duration) -> Total {
         let mut total = Total::default();
-        for holder in self.holders.iter().filter(|h| Some(h.vm) != but && mono < h.until) {
+        for holder in self.holders.iter().filter(|h| Some(h.vm) != but && mono < h.lease_until) {
             total.requests += holder.share.requests;
             total.tokens += holder.share.tokens;
         }
@@ -332,7 +342,7 @@
     fn committed(&self, but: Option<VmId>, mono: Duration) -> f64 {
         let others = self.holders.iter().filter(|h| Some(h.vm) != but);
         let each = others.map(|h| {
-            let may_start = if mono < h.until { h.share.concurrent } else { 0 };
+            let may_start = if mono < h.lease_until { h.share.concurrent } else { 0 };
             h.running.max(may_start)
         });
         f64::from(each.sum::<u32>())
@@ -340,5 +350,5 @@
 }
 
 fn burst(rate: f64) -> f64 {
-    (rate * BURST).max(LEAST_BURST)
+    (rate * BURST_SECONDS).max(MIN_BURST)
 }
--- a/crates/basilbank_core/src/state/limits/usage.rs
+++ b/crates/basilbank_core/src/state/limits/usage.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-use super::{Bucket, LimitDemand, LimitShare, Meter};
+use super::{Bucket, LimitDemand, LimitShare, RateMeter};
 use crate::{catalogue::Limits, ids::VmId, reason::Refusal};
 
 /// Calls within about ten seconds from which a daemon wants a lease. With fewer a lease would lie
 /// idle for most of its time, and 10,000 entries in sparse use would cost more messages in leases
 /// than in requests.
-const DENSE: f64 = 1.5;
+const MIN_CALLS_FOR_LEASE: f64 = 1.5;
 /// With fewer calls than this within about two seconds, they are averaged over ten.
-const FEW: f64 = 3.0;
+const FEW_CALLS: f64 = 3.0;
 /// Rations may save up this many requests, since a call comes only some time after the first one is
 /// saved up.
-const SAVED: f64 = 2.0;
+const MAX_SAVED_REQUESTS: f64 = 2.0;
 /// And as many as come in this many seconds.
-const SAVED_FOR: f64 = 5.0;
+const MAX_SAVED_SECONDS: f64 = 5.0;
 /// What a ration saved up is kept for this long without one.
-const RATIONED: Duration = Duration::from_secs(60);
+const RATION_MEMORY: Duration = Duration::from_secs(60);
 /// Least burst of a lease in requests.
-const LEASED: f64 = 3.0;
+const MIN_LEASE_BURST: f64 = 3.0;
 /// Bursts are what comes in this many seconds.
-const BURST: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 
 /// What this daemon uses of one entry.
 #[derive(Clone, PartialEq, Debug)]
@@ -32,25 +32,25 @@
     pub lease: Option<(LimitShare, Duration)>,
     /// Until when the steward takes this daemon's calls one by one, though they come often: no lease
     /// is worth it.
-    pub trusted: Duration,
+    pub trusted_until: Duration,
     /// The steward has plenty: what goes beyond the lease may be taken and told.
-    pub ample: bool,
+    pub is_ample: bool,
     /// The steward that was asked last, and when.
-    pub asked: Option<(VmId, Duration)>,
+    pub last_asked: Option<(VmId, Duration)>,
     /// Requests taken without a lease that the steward does not know of.
-    pub untold_requests: u32,
+    pub unreported_requests: u32,
     /// Tokens taken, less those given back, without a lease, that it does not know of.
-    pub untold_tokens: i64,
+    pub unreported_tokens: i64,
     /// The number of requests in progress that the steward was told.
-    pub told_running: u32,
+    pub reported_running: u32,
     /// When something last happened.
-    pub touched: Duration,
-    rationed: Option<Duration>,
+    pub last_used: Duration,
+    rationed_at: Option<Duration>,
     requests: Bucket,
     tokens: Bucket,
-    calls: Meter<10>,
-    wanted_requests: Meter<2>,
-    wanted_tokens: Meter<2>,
+    calls: RateMeter<10>,
+    wanted_requests: RateMeter<2>,
+    wanted_tokens: RateMeter<2>,
 }
 
 impl Usage {
@@ -60,25 +60,25 @@
         Usage {
             running: 0,
             lease: None,
-            trusted: Duration::ZERO,
-            ample: false,
-            asked: None,
-            untold_requests: 0,
-            untold_tokens: 0,
-            told_running: 0,
-            touched: mono,
-            rationed: None,
+            trusted_until: Duration::ZERO,
+            is_ample: false,
+            last_asked: None,
+            unreported_requests: 0,
+            unreported_tokens: 0,
+            reported_running: 0,
+            last_used: mono,
+            rationed_at: None,
             requests: Bucket::full(burst(share.requests), mono),
             tokens: Bucket::full(burst(share.tokens), mono),
-            calls: Meter::default(),
-            wanted_requests: Meter::default(),
-            wanted_tokens: Meter::default(),
+            calls: RateMeter::default(),
+            wanted_requests: RateMeter::default(),
+            wanted_tokens: RateMeter::default(),
         }
     }
 
     /// A call came, whatever becomes of it.
-    pub fn want(&mut self, tokens: u32, mono: Duration) {
-        self.touched = mono;
+    pub fn record_call(&mut self, tokens: u32, mono: Duration) {
+        self.last_used = mono;
         self.calls.add(1.0, mono);
         self.wanted_requests.add(1.0, mono);
         self.wanted_tokens.add(f64::from(tokens), mono);
@@ -116,7 +116,7 @@
         if self.lease.is_some() {
             self.tokens.level += f64::from(unused);
         } else {
-            self.untold_tokens -= i64::from(unused);
+            self.unreported_tokens -= i64::from(unused);
         }
     }
 
@@ -128,7 +128,7 @@
             self.requests.level = self.requests.level.max(0.0);
             self.tokens.level = self.tokens.level.max(0.0);
         }
-        self.rationed = None;
+        self.rationed_at = None;
         self.lease = Some((share, until));
     }
 
@@ -136,8 +136,8 @@
     /// `chance` of one request: it differs from daemon to daemon, so that they do not all wait for
     /// their first request and then let it through together.
     pub fn set_ration(&mut self, share: LimitShare, until: Duration, chance: f64, mono: Duration) {
-        let is_new = self.rationed.is_none_or(|at| at + RATIONED < mono);
-        self.rationed = Some(mono);
+        let is_new = self.rationed_at.is_none_or(|at| at + RATION_MEMORY < mono);
+        self.rationed_at = Some(mono);
         let former = self.lease.map_or(share, |(former, _)| former);
         self.fill(&former, mono);
         if is_new {
@@ -150,36 +150,37 @@
     }
 
     /// A call that the steward refused runs all the same, since it was sent before.
-    pub fn owe(&mut self, tokens: u32) {
+    pub fn overdraw(&mut self, tokens: u32) {
         self.requests.level -= 1.0;
         self.tokens.level -= f64::from(tokens);
     }
 
     /// Drops what has run out.
-    pub fn expire(&mut self, mono: Duration) {
+    pub fn expire_lease(&mut self, mono: Duration) {
         self.lease = self.lease.filter(|(_, until)| mono < *until);
     }
 
     /// Whether calls come often enough for a lease.
     #[must_use]
-    pub fn is_dense(&self, mono: Duration) -> bool {
-        DENSE <= self.calls.sum(mono)
+    pub fn is_frequent(&self, mono: Duration) -> bool {
+        MIN_CALLS_FOR_LEASE <= self.calls.sum(mono)
     }
 
     /// What this daemon's callers want of the entry. Few calls are averaged over a longer time.
     #[must_use]
     pub fn demand(&self, mono: Duration) -> LimitDemand {
-        let few = self.wanted_requests.sum(mono) < FEW;
-        let recent = self.wanted_requests.fresh_rate(mono);
-        let requests = if few { self.calls.fresh_rate(mono) } else { recent };
-        let tokens = self.wanted_tokens.fresh_rate(mono) * requests / recent.max(f64::MIN_POSITIVE);
+        let few = self.wanted_requests.sum(mono) < FEW_CALLS;
+        let recent = self.wanted_requests.rate_since_start(mono);
+        let requests = if few { self.calls.rate_since_start(mono) } else { recent };
+        let tokens =
+            self.wanted_tokens.rate_since_start(mono) * requests / recent.max(f64::MIN_POSITIVE);
         let concurrent = self.running + requests.ceil() as u32;
         LimitDemand { requests: requests.max(0.001), tokens, concurrent }
     }
 
     /// Whether calls come and the lease is nearly used up, so that more should be asked for.
     #[must_use]
-    pub fn is_hungry(&self, limits: &Limits) -> bool {
+    pub fn needs_more(&self, limits: &Limits) -> bool {
         let Some((share, _)) = self.lease else { return false };
         let requests = 0.0 < limits.requests && self.requests.level < burst(share.requests) / 2.0;
         let tokens = 0.0 < limits.tokens && self.tokens.level < burst(share.tokens) / 2.0;
@@ -189,27 +190,27 @@
     /// Whether what it has is a ration.
     #[must_use]
     pub fn is_rationed(&self) -> bool {
-        self.lease.is_some() && self.rationed.is_some()
+        self.lease.is_some() && self.rationed_at.is_some()
     }
 
     /// Whether the steward must be told of something that counts by the entry's limits.
     #[must_use]
-    pub fn is_untold(&self, limits: &Limits) -> bool {
-        let requests = 0.0 < limits.requests && self.untold_requests != 0;
-        let tokens = 0.0 < limits.tokens && self.untold_tokens != 0;
-        requests || tokens || (0 < limits.concurrent && self.running != self.told_running)
+    pub fn has_unreported(&self, limits: &Limits) -> bool {
+        let requests = 0.0 < limits.requests && self.unreported_requests != 0;
+        let tokens = 0.0 < limits.tokens && self.unreported_tokens != 0;
+        requests || tokens || (0 < limits.concurrent && self.running != self.reported_running)
     }
 
     /// Whether it can be forgotten.
     #[must_use]
     pub fn is_idle(&self, limits: &Limits, idle_for: Duration, mono: Duration) -> bool {
-        self.running == 0 && !self.is_untold(limits) && self.touched + idle_for < mono
+        self.running == 0 && !self.has_unreported(limits) && self.last_used + idle_for < mono
     }
 
     fn fill(&mut self, share: &LimitShare, mono: Duration) {
-        let least = match (self.rationed, self.lease) {
-            (Some(_), _) => SAVED.max(share.requests * SAVED_FOR),
-            (None, Some(_)) => LEASED,
+        let least = match (self.rationed_at, self.lease) {
+            (Some(_), _) => MAX_SAVED_REQUESTS.max(share.requests * MAX_SAVED_SECONDS),
+            (None, Some(_)) => MIN_LEASE_BURST,
             (None, None) => 1.0,
         };
         self.requests.fill(share.requests, burst(share.requests).max(least), mono);
@@ -218,5 +219,5 @@
 }
 
 fn burst(rate: f64) -> f64 {
-    (rate * BURST).max(1.0)
+    (rate * BURST_SECONDS).max(1.0)
 }
--- a/crates/basilbank_core/src/state/members.rs
+++ b/crates/basilbank_core/src/state/members.rs
@@ -1,26 +1,26 @@
 //! Peers: who may exist, and who does.
 
-mod census;
 mod departed;
 mod member;
-mod presence;
+mod member_count;
+mod own_status;
+mod owner_cache;
 mod rank;
-mod steward_cache;
 
 use std::{collections::BTreeMap, time::Duration};
 
 use basilbank_wire::VmRecord;
 
-pub use self::{census::Census, member::Member, presence::Presence, rank::rank};
 use self::{
     departed::Departed,
-    rank::{highest, top},
-    steward_cache::StewardCache,
+    owner_cache::OwnerCache,
+    rank::{highest_ranked, top_ranked},
 };
+pub use self::{member::Member, member_count::MemberCount, own_status::OwnStatus, rank::rank};
 use crate::{ids::VmId, state::Local};
 
 /// VMs that vote on one key.
-pub const VOTERS: usize = 3;
+pub const VOTERS_PER_KEY: usize = 3;
 
 /// All VMs on the platform's list, and which of them are alive.
 ///
@@ -33,35 +33,35 @@
     /// The listed VMs, this daemon's own too if it is listed.
     pub all: BTreeMap<VmId, Member>,
     /// Whether this daemon may decide for others.
-    pub presence: Presence,
+    pub own_status: OwnStatus,
     /// Rises whenever a member comes, dies, restarts or starts to leave.
     pub epoch: u64,
     /// When that was last.
     pub changed_at: Duration,
     /// Heartbeats that this daemon has sent.
-    pub counter: u64,
+    pub heartbeat_counter: u64,
     /// A heartbeat has come since the process started.
-    pub greeted: bool,
+    pub has_heartbeat: bool,
     /// When a peer was last asked for all its records.
-    pub probed: Option<Duration>,
-    ring: Vec<VmId>,
+    pub probed_at: Option<Duration>,
+    listed: Vec<VmId>,
     live: Vec<VmId>,
     candidates: Vec<VmId>,
     departed: Departed,
-    stewards: StewardCache,
-    unlisted: Option<Member>,
+    owners: OwnerCache,
+    unlisted_own: Option<Member>,
 }
 
 impl Members {
     /// Knows only this daemon.
     #[must_use]
     pub fn new(local: &Local, mono: Duration) -> Members {
-        let own = Member::own(local.data_centre, local.incarnation, mono);
+        let own = Member::new_own(local.data_centre, local.incarnation, mono);
         Members {
             own: local.vm,
             all: BTreeMap::from([(local.vm, own)]),
-            presence: Presence::new(mono),
-            ring: vec![local.vm],
+            own_status: OwnStatus::new(mono),
+            listed: vec![local.vm],
             live: vec![local.vm],
             candidates: vec![local.vm],
             epoch: 1,
@@ -70,32 +70,32 @@
     }
 
     /// Takes over a VM list. Members that stay keep what is known of them.
-    pub fn adopt(&mut self, vms: &[VmRecord]) {
+    pub fn apply_list(&mut self, vms: &[VmRecord]) {
         let mut old = std::mem::take(&mut self.all);
         for record in vms {
             let vm = VmId::of(&record.name);
-            let own = if vm == self.own { self.unlisted.take() } else { None };
+            let own = if vm == self.own { self.unlisted_own.take() } else { None };
             let known = old.remove(&vm).or(own).or_else(|| self.departed.take(vm));
             let mut member = known.unwrap_or_default();
-            member.list(record);
+            member.apply_record(record);
             self.all.insert(vm, member);
         }
         // A VM that was replaced starts before the lagging list has it again. A daemon that forgot
         // itself meanwhile would count as dead in its own eyes for ever: its peers would name it as
         // a steward, and it would refuse to be one.
-        self.unlisted = old.remove(&self.own).or(self.unlisted.take());
+        self.unlisted_own = old.remove(&self.own).or(self.unlisted_own.take());
         for (vm, member) in old {
-            self.departed.put(vm, member);
+            self.departed.insert(vm, member);
         }
-        self.ring = self.all.keys().copied().collect();
-        self.presence.listed = true;
-        self.changed();
+        self.listed = self.all.keys().copied().collect();
+        self.own_status.has_list = true;
+        self.refresh();
     }
 
     /// Call it whenever a member came, died, restarted or started to leave.
-    pub fn changed(&mut self) {
+    pub fn refresh(&mut self) {
         self.epoch += 1;
-        self.changed_at = self.presence.last_event;
+        self.changed_at = self.own_status.last_event;
         let live = self.all.iter().filter(|(_, m)| m.live);
         self.live = live.clone().map(|(vm, _)| *vm).collect();
         let staying: Vec<_> = live.filter(|(_, m)| !m.is_leaving()).map(|(vm, _)| *vm).collect();
@@ -107,7 +107,7 @@
     /// is not cut off. A daemon that is alone on the list may.
     #[must_use]
     pub fn may_decide(&self) -> bool {
-        self.presence.may_decide()
+        self.own_status.may_decide()
     }
 
     /// Whether a VM has been heard lately.
@@ -119,7 +119,7 @@
     /// Whether a VM is on the platform's list.
     #[must_use]
     pub fn is_listed(&self, vm: VmId) -> bool {
-        self.presence.listed && self.all.contains_key(&vm)
+        self.own_status.has_list && self.all.contains_key(&vm)
     }
 
     /// The highest incarnation of a VM that was heard of; also of one that left the list lately.
@@ -137,22 +137,22 @@
             return Some(Duration::ZERO);
         }
         let member = self.all.get(&vm).or_else(|| self.departed.get(vm))?;
-        member.heard.map(|heard| self.presence.last_event.saturating_sub(heard))
+        member.last_seen.map(|heard| self.own_status.last_event.saturating_sub(heard))
     }
 
     /// The VMs that vote on a key: those that rank highest on the platform's list, heard or not, so
     /// that both sides of a partition ask the same ones.
     #[must_use]
     pub fn voters(&self, subject: u64) -> Vec<VmId> {
-        top::<VOTERS>(self.ring.iter().copied(), subject)
+        top_ranked::<VOTERS_PER_KEY>(self.listed.iter().copied(), subject)
     }
 
     /// The live member that decides for a subject: the one that ranks highest by rendezvous hashing,
     /// so that a member's coming or going moves only its own subjects. Members that are leaving
     /// decide only when there are no others.
     #[must_use]
-    pub fn steward(&self, subject: u64) -> Option<VmId> {
-        self.stewards.get(subject, self.epoch, || highest(&self.candidates, subject))
+    pub fn owner(&self, subject: u64) -> Option<VmId> {
+        self.owners.get(subject, self.epoch, || highest_ranked(&self.candidates, subject))
     }
 
     /// The live members that may be stewards, sorted.
@@ -169,28 +169,28 @@
 
     /// The listed VMs, sorted.
     #[must_use]
-    pub fn ring(&self) -> &[VmId] {
-        &self.ring
+    pub fn listed(&self) -> &[VmId] {
+        &self.listed
     }
 
     /// Counts the members that may decide, and those of them for which `heard` holds. This daemon's
     /// own is always heard.
     #[must_use]
-    pub fn census(&self, heard: impl Fn(&Member) -> bool) -> Census {
-        let mut census = Census::default();
+    pub fn count_members(&self, heard: impl Fn(&Member) -> bool) -> MemberCount {
+        let mut census = MemberCount::default();
         for (vm, member) in self.all.iter().filter(|(_, m)| !m.is_leaving()) {
-            census.of += 1;
-            census.heard += usize::from(*vm == self.own || heard(member));
+            census.total += 1;
+            census.in_contact += usize::from(*vm == self.own || heard(member));
         }
         census
     }
 
     /// Moves the times of last news on by a pause, in which nothing could be heard.
-    pub fn shift(&mut self, gap: Duration) {
+    pub fn shift_times(&mut self, gap: Duration) {
         for member in self.all.values_mut() {
-            member.heard = member.heard.map(|heard| heard + gap);
+            member.last_seen = member.last_seen.map(|heard| heard + gap);
         }
-        self.departed.shift(gap);
+        self.departed.shift_times(gap);
     }
 
     /// Whether a message of this incarnation is current: none with a higher one was seen.
--- a/crates/basilbank_core/src/state/members/departed.rs
+++ b/crates/basilbank_core/src/state/members/departed.rs
@@ -6,7 +6,7 @@
 use crate::ids::VmId;
 
 /// Departed VMs that are remembered.
-const MOST: usize = 512;
+const MAX_DEPARTED: usize = 512;
 
 /// The VMs that left the list last, with what was known of them.
 ///
@@ -19,11 +19,11 @@
 
 impl Departed {
     /// Remembers one, and forgets the one that left first when there are too many.
-    pub fn put(&mut self, vm: VmId, mut member: Member) {
+    pub fn insert(&mut self, vm: VmId, mut member: Member) {
         member.live = false;
-        member.rumours = 0;
+        member.record_sends = 0;
         self.vms.push_back((vm, member));
-        if MOST < self.vms.len() {
+        if MAX_DEPARTED < self.vms.len() {
             self.vms.pop_front();
         }
     }
@@ -41,9 +41,9 @@
     }
 
     /// Moves the times of last news on by a pause.
-    pub fn shift(&mut self, gap: Duration) {
+    pub fn shift_times(&mut self, gap: Duration) {
         for (_, member) in &mut self.vms {
-            member.heard = member.heard.map(|heard| heard + gap);
+            member.last_seen = member.last_seen.map(|heard| heard + gap);
         }
     }
 }
--- a/crates/basilbank_core/src/state/members/census.rs
+++ b/crates/basilbank_core/src/state/members/member_count.rs
@@ -2,18 +2,18 @@
 
 /// How many members there are, and how many of them are heard.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Census {
+pub struct MemberCount {
     /// Those that are heard.
-    pub heard: usize,
+    pub in_contact: usize,
     /// All of them.
-    pub of: usize,
+    pub total: usize,
 }
 
-impl Census {
+impl MemberCount {
     /// Whether fewer than half are heard. Exactly half is not a minority: a fleet in two equal places
     /// that lose each other goes on in both, and endpoints judge between two stewards.
     #[must_use]
     pub fn is_minority(&self) -> bool {
-        self.heard * 2 < self.of
+        self.in_contact * 2 < self.total
     }
 }
--- a/crates/basilbank_core/src/state/members/steward_cache.rs
+++ b/crates/basilbank_core/src/state/members/owner_cache.rs
@@ -5,11 +5,11 @@
 use crate::ids::VmId;
 
 /// Places; more than twice the endpoints that the design aims at.
-const PLACES: usize = 2048;
+const CACHE_SIZE: usize = 2048;
 
 /// One answer, with the epoch of the members that it holds for.
 #[derive(Clone, Copy, Debug, Default)]
-struct Place {
+struct CachedOwner {
     subject: u64,
     epoch: u64,
     vm: VmId,
@@ -21,17 +21,17 @@
 /// Each request asks for several stewards and each look at what is due for hundreds; among 320
 /// members that was half of all the time that decisions took.
 #[derive(Clone, Debug)]
-pub struct StewardCache {
-    places: Vec<Cell<Place>>,
+pub struct OwnerCache {
+    entries: Vec<Cell<CachedOwner>>,
 }
 
-impl Default for StewardCache {
-    fn default() -> StewardCache {
-        StewardCache { places: vec![Cell::default(); PLACES] }
+impl Default for OwnerCache {
+    fn default() -> OwnerCache {
+        OwnerCache { entries: vec![Cell::default(); CACHE_SIZE] }
     }
 }
 
-impl StewardCache {
+impl OwnerCache {
     /// The steward of a subject, by `find` if it was not found before. Epochs start at 1.
     pub fn get(
         &self,
@@ -39,13 +39,13 @@
         epoch: u64,
         find: impl FnOnce() -> Option<VmId>,
     ) -> Option<VmId> {
-        let place = &self.places[subject as usize % PLACES];
+        let place = &self.entries[subject as usize % CACHE_SIZE];
         let known = place.get();
         if known.subject == subject && known.epoch == epoch {
             return Some(known.vm);
         }
         let vm = find()?;
-        place.set(Place { subject, epoch, vm });
+        place.set(CachedOwner { subject, epoch, vm });
         Some(vm)
     }
 }
--- a/crates/basilbank_core/src/state/members/rank.rs
+++ b/crates/basilbank_core/src/state/members/rank.rs
@@ -12,13 +12,16 @@
 }
 
 /// The VM with the highest rank for a subject.
-pub(super) fn highest(vms: &[VmId], subject: u64) -> Option<VmId> {
+pub(super) fn highest_ranked(vms: &[VmId], subject: u64) -> Option<VmId> {
     let salt = mix(subject);
     vms.iter().copied().max_by_key(|vm| mix(vm.0 ^ salt))
 }
 
 /// The `N` VMs with the highest ranks for a subject, highest first.
-pub(super) fn top<const N: usize>(vms: impl Iterator<Item = VmId>, subject: u64) -> Vec<VmId> {
+pub(super) fn top_ranked<const N: usize>(
+    vms: impl Iterator<Item = VmId>,
+    subject: u64,
+) -> Vec<VmId> {
     let mut best: Vec<(Reverse<u64>, VmId)> = Vec::with_capacity(N + 1);
     for vm in vms {
         let ranked = (Reverse(rank(vm, subject)), vm);
--- a/crates/basilbank_core/src/state/orders.rs
+++ b/crates/basilbank_core/src/state/orders.rs
@@ -1,13 +1,13 @@
 //! Orders to endpoints: what endpoints serve, and what is being changed.
 
-mod roll;
+mod rollout;
 mod serving;
 
 use std::{collections::BTreeMap, time::Duration};
 
 pub use self::{
-    roll::{Roll, RollStage},
-    serving::{Serving, Target},
+    rollout::{Rollout, RolloutStage},
+    serving::{ServingStatus, ServingTarget},
 };
 use crate::ids::{EndpointId, ModelId};
 
@@ -19,20 +19,20 @@
     /// The adapter.
     pub adapter: String,
     /// When this daemon saw it change.
-    pub at: Duration,
+    pub seen_at: Duration,
 }
 
 /// Orders to endpoints: what endpoints serve, and what is being changed.
 #[derive(Debug, Default)]
 pub struct Orders {
     /// What endpoints last reported.
-    pub reports: BTreeMap<EndpointId, Serving>,
+    pub reports: BTreeMap<EndpointId, ServingStatus>,
     /// Endpoints that this daemon is the steward of and that serve something else than they should.
-    pub rolls: BTreeMap<EndpointId, Roll>,
+    pub rollouts: BTreeMap<EndpointId, Rollout>,
     /// Since when this daemon has been an endpoint's steward without a gap.
-    pub since: BTreeMap<EndpointId, Duration>,
+    pub owned_since: BTreeMap<EndpointId, Duration>,
     /// When each model's version or adapter last changed.
-    pub changes: BTreeMap<ModelId, ModelChange>,
+    pub model_changes: BTreeMap<ModelId, ModelChange>,
     /// The catalogue revision that `changes` follows.
     pub revision: u64,
 }
--- a/crates/basilbank_core/src/state/orders/roll.rs
+++ b/crates/basilbank_core/src/state/orders/rollout.rs
@@ -2,54 +2,54 @@
 
 use std::time::Duration;
 
-use crate::state::Target;
+use crate::state::ServingTarget;
 
 /// An endpoint on its way to another version, adapter, model or role.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Roll {
+pub struct Rollout {
     /// What it should serve.
-    pub target: Target,
+    pub target: ServingTarget,
     /// How far it is.
-    pub stage: RollStage,
+    pub stage: RolloutStage,
     /// Since when.
-    pub since: Duration,
+    pub stage_since: Duration,
 }
 
 /// How far an endpoint is.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum RollStage {
+pub enum RolloutStage {
     /// It serves the old version until its turn has come.
     Waiting,
     /// It gets no new work and finishes what it has.
     Draining {
         /// Since when its reports and the steward's ledger say that it is empty.
-        empty: Option<Duration>,
+        empty_since: Option<Duration>,
     },
     /// It was ordered to load.
     Ordered {
         /// Orders sent so far.
         sent: u32,
         /// When to order again.
-        due: Duration,
+        resend_at: Duration,
     },
 }
 
-impl Roll {
+impl Rollout {
     /// An endpoint that waits for its turn.
     #[must_use]
-    pub fn new(target: Target, now: Duration) -> Roll {
-        Roll { target, stage: RollStage::Waiting, since: now }
+    pub fn new(target: ServingTarget, now: Duration) -> Rollout {
+        Rollout { target, stage: RolloutStage::Waiting, stage_since: now }
     }
 
     /// Goes on to a stage.
-    pub fn enter(&mut self, stage: RollStage, now: Duration) {
+    pub fn enter_stage(&mut self, stage: RolloutStage, now: Duration) {
         self.stage = stage;
-        self.since = now;
+        self.stage_since = now;
     }
 
     /// Whether the endpoint gets no new work.
     #[must_use]
     pub fn is_closed(&self) -> bool {
-        self.stage != RollStage::Waiting
+        self.stage != RolloutStage::Waiting
     }
 }
--- a/crates/basilbank_core/src/state/lag.rs
+++ b/crates/basilbank_core/src/state/overrun.rs
@@ -5,16 +5,16 @@
 /// Weight of the newest sample in the mean.
 const GAIN: f64 = 1.0 / 16.0;
 /// Deviations added to the mean, so that most work takes less than promised.
-const DEVIATIONS: f64 = 2.0;
+const MARGIN_DEVIATIONS: f64 = 2.0;
 
 /// Mean and mean deviation of the time beyond an estimate, in seconds.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub struct Lag {
+pub struct Overrun {
     mean: f64,
     deviation: f64,
 }
 
-impl Lag {
+impl Overrun {
     /// Takes a sample in: what was expected, and what it took.
     pub fn add(&mut self, expected: Duration, took: Duration) {
         let error = took.as_secs_f64() - expected.as_secs_f64() - self.mean;
@@ -25,6 +25,6 @@
     /// The time to add to an estimate, so that most work takes no longer.
     #[must_use]
     pub fn margin(&self) -> Duration {
-        Duration::from_secs_f64((self.mean + DEVIATIONS * self.deviation).max(0.0))
+        Duration::from_secs_f64((self.mean + MARGIN_DEVIATIONS * self.deviation).max(0.0))
     }
 }
--- a/crates/basilbank_core/src/state/prefixes.rs
+++ b/crates/basilbank_core/src/state/prefix_index.rs
@@ -9,44 +9,44 @@
 use crate::ids::EndpointId;
 
 /// Most pairs of block and endpoint that are remembered, 3 MB with their tables.
-const CAPACITY: usize = 1 << 15;
+const MAX_HINTS: usize = 1 << 15;
 /// One block in so many is remembered.
-const SAMPLING: u64 = 8;
+const SAMPLING_INTERVAL: u64 = 8;
 /// A block at more endpoints than this is held everywhere; the others are not remembered.
-const MOST_HOLDERS: usize = 16;
+const MAX_HOLDERS: usize = 16;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Holder {
     endpoint: EndpointId,
     /// When it was last said, as a count of all that was said.
-    stamp: u64,
+    sequence: u64,
 }
 
 /// Which endpoints have which blocks. What was not said again for longest is forgotten first.
 #[derive(Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     holders: HashMap<u64, Vec<Holder>>,
-    order: VecDeque<(u64, Holder)>,
-    stamp: u64,
+    insertions: VecDeque<(u64, Holder)>,
+    sequence: u64,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// An endpoint has a block.
     pub fn add(&mut self, block: u64, endpoint: EndpointId) {
         if !is_sampled(block) {
             return;
         }
-        self.stamp += 1;
-        let holder = Holder { endpoint, stamp: self.stamp };
+        self.sequence += 1;
+        let holder = Holder { endpoint, sequence: self.sequence };
         let holders = self.holders.entry(block).or_default();
         match holders.iter().position(|h| h.endpoint == endpoint) {
             Some(at) => holders[at] = holder,
-            None if holders.len() < MOST_HOLDERS => holders.push(holder),
+            None if holders.len() < MAX_HOLDERS => holders.push(holder),
             None => return,
         }
-        self.order.push_back((block, holder));
-        if CAPACITY < self.order.len()
-            && let Some((block, oldest)) = self.order.pop_front()
+        self.insertions.push_back((block, holder));
+        if MAX_HINTS < self.insertions.len()
+            && let Some((block, oldest)) = self.insertions.pop_front()
         {
             self.drop_holder(block, |h| h == oldest);
         }
@@ -93,20 +93,20 @@
 
     /// The last block of a prompt that is remembered, and how many blocks it ends.
     #[must_use]
-    pub fn last(blocks: &[u64]) -> Option<(u64, usize)> {
+    pub fn last_sampled(blocks: &[u64]) -> Option<(u64, usize)> {
         let at = blocks.iter().rposition(|b| is_sampled(*b))?;
         Some((blocks[at], at + 1))
     }
 
     /// Whether an endpoint has a block.
     #[must_use]
-    pub fn has(&self, block: u64, endpoint: EndpointId) -> bool {
+    pub fn contains(&self, block: u64, endpoint: EndpointId) -> bool {
         self.holders.get(&block).is_some_and(|h| h.iter().any(|h| h.endpoint == endpoint))
     }
 
     /// The first block of a prompt that at most so many endpoints have.
     #[must_use]
-    pub fn first_own(&self, blocks: &[u64], most: usize) -> Option<u64> {
+    pub fn first_rare(&self, blocks: &[u64], most: usize) -> Option<u64> {
         let holders = |block: u64| self.holders.get(&block).map_or(0, Vec::len);
         blocks.iter().copied().find(|b| is_sampled(*b) && holders(*b) <= most)
     }
@@ -114,5 +114,5 @@
 
 /// Whether a block is one of those that are remembered.
 fn is_sampled(block: u64) -> bool {
-    block.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(8).is_multiple_of(SAMPLING)
+    block.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(8).is_multiple_of(SAMPLING_INTERVAL)
 }
--- a/crates/basilbank_core/src/state/reaper.rs
+++ b/crates/basilbank_core/src/state/reaper.rs
@@ -6,31 +6,31 @@
 
 /// A cancelled attempt whose end at the endpoint has not been seen yet.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Cancelled {
+pub struct CancelledAttempt {
     /// The request.
     pub request: RequestId,
     /// The KV cache or stream that was cancelled, if it was known.
-    pub held: Option<String>,
+    pub resource: Option<String>,
     /// When.
-    pub at: Duration,
+    pub cancelled_at: Duration,
 }
 
 /// An endpoint where something was cancelled.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Watch {
+pub struct CancelWatch {
     /// When to list its streams.
-    pub due: Duration,
+    pub check_at: Duration,
     /// When its streams were asked for last.
-    pub asked: Duration,
+    pub listed_at: Duration,
     /// What was cancelled, oldest first.
-    pub cancelled: Vec<Cancelled>,
+    pub cancelled: Vec<CancelledAttempt>,
 }
 
 /// What the reaper remembers between two lists of an endpoint's streams.
 #[derive(Debug, Default)]
 pub struct Reaper {
     /// When this daemon next lists the endpoints that it is the steward of.
-    pub due: Duration,
+    pub next_list: Duration,
     /// Endpoints where this daemon cancelled something lately.
-    pub watches: BTreeMap<EndpointId, Watch>,
+    pub watches: BTreeMap<EndpointId, CancelWatch>,
 }
--- a/crates/basilbank_core/src/state/requests.rs
+++ b/crates/basilbank_core/src/state/requests.rs
@@ -22,45 +22,45 @@
     /// The entry it runs under.
     pub entry: EntryId,
     /// The draft; `None` for a plain call.
-    pub draft: Option<Completion>,
+    pub completion: Option<Completion>,
     /// It may be run more than once.
     pub repeatable: bool,
     /// The caller's idempotency key.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// It reads the stream of its key's first request.
     pub joined: bool,
     /// When it was accepted.
-    pub accepted: Duration,
+    pub accepted_at: Duration,
     /// When its first token, or a plain call's answer, is due by its class's target.
     pub due: Duration,
     /// How long it may wait for capacity before it is refused.
-    pub until: Duration,
+    pub wait_deadline: Duration,
     /// When the first token went out.
-    pub first: Option<Duration>,
+    pub first_token_at: Option<Duration>,
     /// When the last token went out.
-    pub last: Option<Duration>,
+    pub last_token_at: Option<Duration>,
     /// Tokens delivered.
     pub delivered: u32,
     /// Prompt tokens, once an endpoint has counted them.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Prompt tokens that came from the prefix cache.
-    pub cached: u32,
+    pub cached_tokens: u32,
     /// Attempts so far; each has its own number.
     pub attempts: u32,
     /// Failures since a token was last delivered.
     pub failures: u32,
     /// Part of it may have run: it can't be called not run any more.
-    pub risked: bool,
+    pub may_have_run: bool,
     /// Tokens that were taken from the entry's limit.
-    pub taken: u32,
+    pub limit_tokens: u32,
     /// The entry's steward refused it, perhaps too late.
-    pub is_limited: bool,
+    pub limit_refused: bool,
     /// It counts as waiting for capacity.
     pub queued: bool,
     /// What it is doing.
     pub stage: RequestStage,
     /// Endpoints where attempts failed; others are preferred.
-    pub blamed: Vec<EndpointId>,
+    pub failed_endpoints: Vec<EndpointId>,
 }
 
 /// What a request is doing.
@@ -84,15 +84,15 @@
     /// Requests by caller.
     pub callers: HashMap<CallerId, RequestKey>,
     /// Requests ever accepted by this incarnation.
-    pub counter: u64,
+    pub accepted_count: u64,
     /// Requests that wait for capacity.
     pub queued: usize,
     /// Retries that may be made now; successes add to it.
-    pub budget: f64,
+    pub retry_budget: f64,
 }
 
 /// Retries that a daemon which has just started may make.
-const FIRST_BUDGET: f64 = 10.0;
+const INITIAL_RETRY_BUDGET: f64 = 10.0;
 
 impl Default for Requests {
     fn default() -> Requests {
@@ -100,9 +100,9 @@
             arena: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             callers: HashMap::new(),
-            counter: 0,
+            accepted_count: 0,
             queued: 0,
-            budget: FIRST_BUDGET,
+            retry_budget: INITIAL_RETRY_BUDGET,
         }
     }
 }
@@ -146,7 +146,7 @@
     ///
     /// # Panics
     /// When the request's key is dead.
-    pub fn begin(&mut self, key: RequestKey, now: Duration) -> AttemptKey {
+    pub fn begin_attempt(&mut self, key: RequestKey, now: Duration) -> AttemptKey {
         let request = &mut self.arena[key];
         let attempt = Attempt::new(key, request.attempts, request.delivered, now);
         request.attempts += 1;
@@ -161,7 +161,7 @@
     ///
     /// # Panics
     /// When the attempt's key is dead.
-    pub fn renew(&mut self, key: AttemptKey) -> AttemptKey {
+    pub fn renew_attempt(&mut self, key: AttemptKey) -> AttemptKey {
         let mut attempt = self.attempts.remove(key).expect("the caller checked that it lives");
         let request = &mut self.arena[attempt.request];
         attempt.number = request.attempts;
@@ -176,16 +176,16 @@
     ///
     /// What endpoints sent meanwhile is still to be read. Without this a stream that never stopped
     /// would count as silent and be read again, perhaps away from a daemon that has taken it over.
-    pub fn shift(&mut self, gap: Duration) {
+    pub fn shift_times(&mut self, gap: Duration) {
         for attempt in self.attempts.values_mut() {
-            attempt.since += gap;
-            attempt.heard += gap;
+            attempt.stage_since += gap;
+            attempt.last_progress += gap;
         }
     }
 
     /// A request's current attempt.
     #[must_use]
-    pub fn current(&self, key: RequestKey) -> Option<(AttemptKey, &Attempt)> {
+    pub fn current_attempt(&self, key: RequestKey) -> Option<(AttemptKey, &Attempt)> {
         let RequestStage::Running(attempt) = self.arena.get(key)?.stage else { return None };
         Some((attempt, self.attempts.get(attempt)?))
     }
@@ -193,7 +193,7 @@
     /// Where a request's stream lives and its name there, once it has one.
     #[must_use]
     pub fn stream(&self, key: RequestKey) -> Option<(EndpointId, &str)> {
-        let (_, attempt) = self.current(key)?;
+        let (_, attempt) = self.current_attempt(key)?;
         Some((attempt.slot?.endpoint, attempt.stream.as_deref()?))
     }
 }
@@ -207,38 +207,38 @@
             caller: call.caller,
             team,
             entry,
-            draft: None,
+            completion: None,
             repeatable: false,
-            idempotency: call.idempotency.clone(),
+            idempotency_key: call.idempotency.clone(),
             joined: false,
-            accepted: at,
+            accepted_at: at,
             due: at,
-            until: at,
-            first: None,
-            last: None,
+            wait_deadline: at,
+            first_token_at: None,
+            last_token_at: None,
             delivered: 0,
-            prompt: 0,
-            cached: 0,
+            prompt_tokens: 0,
+            cached_tokens: 0,
             attempts: 0,
             failures: 0,
-            risked: false,
-            is_limited: false,
-            taken: 0,
+            may_have_run: false,
+            limit_refused: false,
+            limit_tokens: 0,
             queued: false,
             stage: RequestStage::Waiting,
-            blamed: Vec::new(),
+            failed_endpoints: Vec::new(),
         }
     }
 
     /// Most tokens that it still may generate.
     #[must_use]
-    pub fn remaining(&self) -> u32 {
-        self.draft.as_ref().map_or(0, |d| d.max_tokens.saturating_sub(self.delivered))
+    pub fn remaining_tokens(&self) -> u32 {
+        self.completion.as_ref().map_or(0, |d| d.max_tokens.saturating_sub(self.delivered))
     }
 
     /// Tokens that a prefill has to turn into KV cache: the prompt, and what was delivered since.
     #[must_use]
-    pub fn prompt_tokens(&self) -> u32 {
-        self.draft.as_ref().map_or(0, |d| d.prompt_tokens.saturating_add(self.delivered))
+    pub fn prefill_tokens(&self) -> u32 {
+        self.completion.as_ref().map_or(0, |d| d.prompt_tokens.saturating_add(self.delivered))
     }
 }
--- a/crates/basilbank_core/src/state/slots.rs
+++ b/crates/basilbank_core/src/state/slots.rs
@@ -27,7 +27,7 @@
 impl SlotKey {
     /// All keys of one endpoint.
     #[must_use]
-    pub fn all_of(endpoint: EndpointId) -> RangeInclusive<SlotKey> {
+    pub fn endpoint_range(endpoint: EndpointId) -> RangeInclusive<SlotKey> {
         let first = SlotKey { endpoint, request: RequestId(0), attempt: 0 };
         let last = SlotKey { endpoint, request: RequestId(u64::MAX), attempt: u32::MAX };
         first..=last
@@ -40,23 +40,23 @@
     /// The attempt that it is for.
     pub attempt: AttemptKey,
     /// Its steward was asked first.
-    pub first: bool,
+    pub is_first: bool,
     /// The entry whose share it uses.
     pub entry: EntryId,
     /// Tokens expected to be held or prefilled.
     pub tokens: u32,
     /// Tokens whose KV cache leaves the endpoint afterwards.
-    pub sent: u32,
+    pub transfer_tokens: u32,
     /// Milliseconds from the grant until its use.
-    pub lead: u32,
+    pub lead_ms: u32,
     /// The grant came.
-    pub held: bool,
+    pub is_held: bool,
     /// When the steward was last asked.
-    pub asked: Duration,
+    pub asked_at: Duration,
     /// How often it was asked.
-    pub asks: u32,
+    pub ask_count: u32,
     /// How long it may wait.
-    pub until: Duration,
+    pub deadline: Duration,
 }
 
 /// Slots at endpoints. Ordered maps, so that effects come in the same order on every run.
@@ -69,9 +69,9 @@
     /// What this daemon says to itself as steward or holder; taken in at the end of each event.
     pub inbox: VecDeque<Body>,
     /// When the stewards were last told what is held.
-    pub told: Duration,
+    pub reported_at: Duration,
     /// Endpoints whose stewards know of a hold of this daemon.
-    pub known: BTreeMap<EndpointId, VmId>,
+    pub known_owners: BTreeMap<EndpointId, VmId>,
     /// The catalogue revision that the ledgers follow.
     pub revision: u64,
 }
@@ -79,6 +79,6 @@
 impl Slots {
     /// The endpoints where this daemon holds slots, with those slots.
     pub fn held(&self) -> impl Iterator<Item = (SlotKey, &OwnSlot)> {
-        self.own.iter().filter(|(_, own)| own.held).map(|(key, own)| (*key, own))
+        self.own.iter().filter(|(_, own)| own.is_held).map(|(key, own)| (*key, own))
     }
 }
--- a/crates/basilbank_core/src/state/timers.rs
+++ b/crates/basilbank_core/src/state/timers.rs
@@ -20,7 +20,7 @@
     /// Renew leases of slots, expire those of others, grant waiting reservations.
     Slots,
     /// Grant slots of an endpoint that has done most of its work by now.
-    Serve(EndpointId),
+    GrantSlots(EndpointId),
     /// Renew leases of limits.
     Limits,
     /// Read endpoints' loads.
@@ -47,13 +47,13 @@
 
     /// When the next one is due.
     #[must_use]
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_due(&self) -> Option<Duration> {
         self.heap.peek().map(|Reverse((at, _, _))| *at)
     }
 
     /// Takes the next one that is due.
     pub fn pop_due(&mut self, mono: Duration) -> Option<Timer> {
-        if mono < self.next()? {
+        if mono < self.next_due()? {
             return None;
         }
         self.heap.pop().map(|Reverse((_, _, timer))| timer)
--- a/crates/basilbank_core/src/state/view.rs
+++ b/crates/basilbank_core/src/state/view.rs
@@ -16,14 +16,14 @@
 pub struct View {
     /// The catalogue itself.
     pub catalogue: Arc<Catalogue>,
-    keys: HashMap<KeyHash, usize>,
+    key_teams: HashMap<KeyHash, usize>,
     entries: HashMap<EntryId, usize>,
     endpoints: HashMap<EndpointId, usize>,
     classes: HashMap<ClassId, usize>,
     models: HashMap<ModelId, usize>,
     prefixes: HashMap<String, usize>,
-    lengths: Vec<usize>,
-    plain: HashMap<(TeamId, ServiceId), usize>,
+    prefix_lengths: Vec<usize>,
+    plain_entries: HashMap<(TeamId, ServiceId), usize>,
     serving: HashMap<(EntryTarget, Role), Vec<EndpointId>>,
 }
 
@@ -33,7 +33,7 @@
     pub fn new(catalogue: Arc<Catalogue>) -> View {
         let mut view = View::default();
         for (i, team) in catalogue.teams.iter().enumerate() {
-            view.keys.extend(team.keys.iter().map(|key| (*key, i)));
+            view.key_teams.extend(team.keys.iter().map(|key| (*key, i)));
         }
         view.entries = catalogue.entries.iter().enumerate().map(|(i, e)| (e.id, i)).collect();
         view.endpoints = catalogue.endpoints.iter().enumerate().map(|(i, e)| (e.id, i)).collect();
@@ -50,13 +50,13 @@
     fn index_services(&mut self, catalogue: &Catalogue) {
         for (i, service) in catalogue.services.iter().enumerate() {
             self.prefixes.insert(service.prefix.clone(), i);
-            self.lengths.push(service.prefix.len());
+            self.prefix_lengths.push(service.prefix.len());
         }
-        self.lengths.sort_unstable_by_key(|length| Reverse(*length));
-        self.lengths.dedup();
+        self.prefix_lengths.sort_unstable_by_key(|length| Reverse(*length));
+        self.prefix_lengths.dedup();
         for (i, entry) in catalogue.entries.iter().enumerate() {
             if let EntryTarget::Service(service) = entry.target {
-                self.plain.entry((entry.team, service)).or_insert(i);
+                self.plain_entries.entry((entry.team, service)).or_insert(i);
             }
         }
     }
@@ -67,7 +67,7 @@
     /// comparison is in constant time all the same.
     #[must_use]
     pub fn team(&self, key: &KeyHash) -> Option<TeamId> {
-        let team = &self.catalogue.teams[*self.keys.get(key)?];
+        let team = &self.catalogue.teams[*self.key_teams.get(key)?];
         let known = team.keys.iter().any(|k| bool::from(k.ct_eq(key)));
         known.then_some(team.id)
     }
@@ -80,7 +80,7 @@
 
     /// A team's entry for a model, by the name that callers use.
     #[must_use]
-    pub fn draft_entry(&self, team: TeamId, name: &str) -> Option<&Entry> {
+    pub fn completion_entry(&self, team: TeamId, name: &str) -> Option<&Entry> {
         let entry = self.entry(EntryId::of(name))?;
         let is_model = matches!(entry.target, EntryTarget::Model(_));
         (entry.team == team && is_model).then_some(entry)
@@ -89,7 +89,7 @@
     /// The service whose prefix a path starts with; the longest prefix wins.
     #[must_use]
     pub fn service(&self, path: &str) -> Option<&Service> {
-        let starts = self.lengths.iter().filter_map(|length| path.get(..*length));
+        let starts = self.prefix_lengths.iter().filter_map(|length| path.get(..*length));
         let found = starts.filter_map(|start| self.prefixes.get(start)).next()?;
         Some(&self.catalogue.services[*found])
     }
@@ -97,7 +97,7 @@
     /// A team's entry for a service.
     #[must_use]
     pub fn plain_entry(&self, team: TeamId, service: &Service) -> Option<&Entry> {
-        let found = self.plain.get(&(team, service.id))?;
+        let found = self.plain_entries.get(&(team, service.id))?;
         Some(&self.catalogue.entries[*found])
     }
 
--- a/crates/basilbank_core/src/state/waiting.rs
+++ b/crates/basilbank_core/src/state/wait_queue.rs
@@ -11,7 +11,7 @@
 };
 
 /// A prompt that takes this many times less prefill than its length says goes before others.
-const CACHED: u32 = 4;
+const CACHED_RATIO: u32 = 4;
 
 /// A reservation that waits.
 #[derive(Clone, PartialEq, Debug)]
@@ -25,17 +25,17 @@
     /// Tokens expected to be held.
     pub tokens: u32,
     /// Tokens whose KV cache leaves the endpoint afterwards.
-    pub sent: u32,
+    pub transfer_tokens: u32,
     /// The grant that comes later than this misses the request's target.
     pub due: Duration,
     /// When it has waited long enough.
-    pub until: Duration,
+    pub deadline: Duration,
     /// When it came.
-    pub since: Duration,
+    pub arrived_at: Duration,
     /// Its caller has part of the answer.
     pub begun: bool,
     /// This steward may take a slot back for it.
-    pub first: bool,
+    pub can_preempt: bool,
 }
 
 /// Groups of one entry's reservations; earlier ones are served first.
@@ -57,60 +57,63 @@
 }
 
 /// A reservation's place in its group: when it is due, or when it came if it is late; then by arrival.
-type Order = (Duration, u64);
+type OrderKey = (Duration, u64);
 
 /// One entry's reservations.
 #[derive(Clone, PartialEq, Debug, Default)]
-pub struct Line {
-    groups: [BTreeMap<Order, Waiter>; Group::ALL.len()],
+pub struct EntryQueue {
+    groups: [BTreeMap<OrderKey, Waiter>; Group::ALL.len()],
 }
 
 /// All reservations that wait at one endpoint.
 #[derive(Clone, PartialEq, Debug, Default)]
-pub struct Waiting {
-    lines: BTreeMap<EntryId, Line>,
-    places: HashMap<SlotKey, (EntryId, Group, Order)>,
+pub struct WaitQueue {
+    queues: BTreeMap<EntryId, EntryQueue>,
+    positions: HashMap<SlotKey, (EntryId, Group, OrderKey)>,
     sequence: u64,
 }
 
-impl Waiting {
+impl WaitQueue {
     /// Adds a reservation, or replaces what was known of it.
     pub fn insert(&mut self, mut waiter: Waiter, now: Duration) {
         if let Some(known) = self.remove(waiter.key) {
-            waiter.since = known.since;
+            waiter.arrived_at = known.arrived_at;
         }
         self.sequence += 1;
-        let group = group(&waiter, now);
-        self.put(waiter, group, self.sequence);
+        let group = group_of(&waiter, now);
+        self.insert_in_group(waiter, group, self.sequence);
     }
 
-    fn put(&mut self, waiter: Waiter, group: Group, sequence: u64) {
+    fn insert_in_group(&mut self, waiter: Waiter, group: Group, sequence: u64) {
         let at = match group {
-            Group::Begun | Group::Late => waiter.since,
+            Group::Begun | Group::Late => waiter.arrived_at,
             Group::Cached | Group::InTime => waiter.due,
         };
         let order = (at, sequence);
-        self.places.insert(waiter.key, (waiter.entry, group, order));
-        let line = self.lines.entry(waiter.entry).or_default();
+        self.positions.insert(waiter.key, (waiter.entry, group, order));
+        let line = self.queues.entry(waiter.entry).or_default();
         line.groups[group as usize].insert(order, waiter);
     }
 
     /// Takes a reservation out.
     pub fn remove(&mut self, key: SlotKey) -> Option<Waiter> {
-        let (entry, group, order) = self.places.remove(&key)?;
-        let line = self.lines.get_mut(&entry)?;
+        let (entry, group, order) = self.positions.remove(&key)?;
+        let line = self.queues.get_mut(&entry)?;
         let waiter = line.groups[group as usize].remove(&order);
         if line.is_empty() {
-            self.lines.remove(&entry);
+            self.queues.remove(&entry);
         }
         waiter
     }
 
     /// Takes those out that a test picks, entry by entry in their order. The test is told the group
     /// and how many of the entry's own are ahead.
-    pub fn take(&mut self, is_it: impl Fn(&Waiting, &Waiter, Group, usize) -> bool) -> Vec<Waiter> {
+    pub fn remove_matching(
+        &mut self,
+        is_it: impl Fn(&WaitQueue, &Waiter, Group, usize) -> bool,
+    ) -> Vec<Waiter> {
         let mut keys = Vec::new();
-        for line in self.lines.values() {
+        for line in self.queues.values() {
             let mut ahead = 0;
             for (group, waiter) in line.iter() {
                 if is_it(self, waiter, group, ahead) {
@@ -124,9 +127,9 @@
     }
 
     /// Puts those whose target has passed behind the others of their entries.
-    pub fn note_late(&mut self, now: Duration) {
+    pub fn demote_late(&mut self, now: Duration) {
         let mut late = Vec::new();
-        for line in self.lines.values() {
+        for line in self.queues.values() {
             for group in [Group::Cached, Group::InTime] {
                 let passed = line.groups[group as usize].range(..(now, 0));
                 late.extend(passed.map(|(order, waiter)| (waiter.key, order.1)));
@@ -134,21 +137,21 @@
         }
         for (key, sequence) in late {
             if let Some(waiter) = self.remove(key) {
-                self.put(waiter, Group::Late, sequence);
+                self.insert_in_group(waiter, Group::Late, sequence);
             }
         }
     }
 
     /// The entries that wait.
-    pub fn lines(&self) -> impl Iterator<Item = (EntryId, &Line)> {
-        self.lines.iter().map(|(entry, line)| (*entry, line))
+    pub fn queues(&self) -> impl Iterator<Item = (EntryId, &EntryQueue)> {
+        self.queues.iter().map(|(entry, line)| (*entry, line))
     }
 
     /// How many of its own entry's a reservation would have ahead of it, and its group.
     #[must_use]
-    pub fn place(&self, key: SlotKey) -> Option<(Group, usize)> {
-        let (entry, group, order) = self.places.get(&key)?;
-        let line = self.lines.get(entry)?;
+    pub fn position(&self, key: SlotKey) -> Option<(Group, usize)> {
+        let (entry, group, order) = self.positions.get(&key)?;
+        let line = self.queues.get(entry)?;
         let before: usize = line.groups[..*group as usize].iter().map(BTreeMap::len).sum();
         let own = line.groups[*group as usize].range(..*order).count();
         Some((*group, before + own))
@@ -157,24 +160,24 @@
     /// A reservation.
     #[must_use]
     pub fn get(&self, key: SlotKey) -> Option<&Waiter> {
-        let (entry, group, order) = self.places.get(&key)?;
-        self.lines.get(entry)?.groups[*group as usize].get(order)
+        let (entry, group, order) = self.positions.get(&key)?;
+        self.queues.get(entry)?.groups[*group as usize].get(order)
     }
 
     /// How many wait.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether none waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 }
 
-impl Line {
+impl EntryQueue {
     /// All of them, in order.
     pub fn iter(&self) -> impl Iterator<Item = (Group, &Waiter)> {
         let each = Group::ALL.into_iter().zip(&self.groups);
@@ -190,13 +193,13 @@
 
     /// How many are in a group or in one before it.
     #[must_use]
-    pub fn up_to(&self, group: Group) -> usize {
+    pub fn count_up_to(&self, group: Group) -> usize {
         self.groups[..=group as usize].iter().map(BTreeMap::len).sum()
     }
 
     /// Whether there are any in a group.
     #[must_use]
-    pub fn has(&self, group: Group) -> bool {
+    pub fn has_group(&self, group: Group) -> bool {
         !self.groups[group as usize].is_empty()
     }
 
@@ -205,12 +208,12 @@
     }
 }
 
-fn group(waiter: &Waiter, now: Duration) -> Group {
+fn group_of(waiter: &Waiter, now: Duration) -> Group {
     if waiter.begun {
         Group::Begun
     } else if waiter.due < now {
         Group::Late
-    } else if waiter.tokens.saturating_mul(CACHED) <= waiter.sent {
+    } else if waiter.tokens.saturating_mul(CACHED_RATIO) <= waiter.transfer_tokens {
         Group::Cached
     } else {
         Group::InTime
--- a/crates/basilbank_core/tests/catalogue.rs
+++ b/crates/basilbank_core/tests/catalogue.rs
@@ -6,7 +6,7 @@
 
 use basilbank_core::{
     prelude::*,
-    state::{Applied, Rng, Store},
+    state::{ApplyResult, DocumentStore, Rng},
 };
 use basilbank_wire::{Document, Heartbeat};
 use test_case::test_case;
@@ -102,8 +102,11 @@
     // Sequence: those that watch for all lose the platform, but not their peers.
     // Cause: the others wait for them for ever.
     let mut world = started(8);
-    let watchers =
-        world.daemons.iter().enumerate().filter(|(_, d)| d.core().documents.watch.open.is_some());
+    let watchers = world
+        .daemons
+        .iter()
+        .enumerate()
+        .filter(|(_, d)| d.core().documents.catalogue_reader.pending_since.is_some());
     let watchers: Vec<_> = watchers.map(|(i, _)| i).collect();
     assert_eq!(watchers.len(), 3);
     publish(&mut world, SECOND * 8);
@@ -111,7 +114,7 @@
     for tenth in 50..500 {
         world.run_until(SECOND * tenth / 10);
         for watcher in &watchers {
-            if world.daemons[*watcher].core().documents.watch.open.is_some() {
+            if world.daemons[*watcher].core().documents.catalogue_reader.pending_since.is_some() {
                 feed(&mut world, *watcher, Event::Platform(PlatformEvent::CatalogueFailed));
             }
         }
@@ -382,7 +385,7 @@
     let mut world = started(8);
     let vms = Event::Platform(PlatformEvent::Vms { revision: 99, vms: Vec::new() });
     feed(&mut world, 0, vms);
-    assert_eq!(world.daemons[0].core().members.ring().len(), 8);
+    assert_eq!(world.daemons[0].core().members.listed().len(), 8);
 }
 
 #[test]
@@ -390,7 +393,7 @@
     let mut world = started(32);
     world.at(SECOND * 5, Step::List(9, Listing::Absent));
     world.run_until(SECOND * 14);
-    assert!(world.daemons.iter().all(|d| d.core().members.ring().len() == 31));
+    assert!(world.daemons.iter().all(|d| d.core().members.listed().len() == 31));
 }
 
 fn document(key: &str, revision: u64) -> Document {
@@ -401,21 +404,21 @@
     Document { key: key.into(), text: None, revision }
 }
 
-fn store() -> Store {
-    let mut store = Store::default();
+fn store() -> DocumentStore {
+    let mut store = DocumentStore::default();
     let whole = vec![document("a", 3), document("b", 4)];
-    assert!(matches!(store.apply(0, 5, whole), Applied::Changed(_)));
+    assert!(matches!(store.apply(0, 5, whole), ApplyResult::Changed(_)));
     store
 }
 
 #[test]
 fn what_is_older_is_dropped() {
     let mut store = store();
-    assert_eq!(store.apply(0, 4, vec![document("a", 4)]), Applied::Stale);
-    assert_eq!(store.apply(5, 5, vec![]), Applied::Same);
-    assert_eq!(store.apply(7, 9, vec![document("a", 9)]), Applied::Gap);
+    assert_eq!(store.apply(0, 4, vec![document("a", 4)]), ApplyResult::Stale);
+    assert_eq!(store.apply(5, 5, vec![]), ApplyResult::Unchanged);
+    assert_eq!(store.apply(7, 9, vec![document("a", 9)]), ApplyResult::Gap);
     assert_eq!(store.revision, 5);
-    assert_eq!(store.whole(), [document("a", 3), document("b", 4)]);
+    assert_eq!(store.all(), [document("a", 3), document("b", 4)]);
 }
 
 #[test]
@@ -423,19 +426,19 @@
     let mut store = store();
     let applied = store.apply(2, 6, vec![document("a", 3), document("b", 6)]);
     let former = [("b".to_owned(), Some(document("b", 4)))];
-    assert_eq!(applied, Applied::Changed(former.into()));
-    assert_eq!(store.whole(), [document("a", 3), document("b", 6)]);
+    assert_eq!(applied, ApplyResult::Changed(former.into()));
+    assert_eq!(store.all(), [document("a", 3), document("b", 6)]);
 }
 
 #[test]
 fn a_whole_removes_what_it_lacks_and_passes_that_on() {
     let mut store = store();
     store.apply(0, 8, vec![document("b", 4)]);
-    assert_eq!(store.whole(), [document("b", 4)]);
-    assert_eq!(store.since(5).documents, [removed("a", 8)]);
-    assert_eq!(store.since(5).after, 5);
+    assert_eq!(store.all(), [document("b", 4)]);
+    assert_eq!(store.delta_since(5).documents, [removed("a", 8)]);
+    assert_eq!(store.delta_since(5).after, 5);
     // What was removed before revision 5 is not known.
-    assert_eq!(store.since(4).after, 0);
+    assert_eq!(store.delta_since(4).after, 0);
 }
 
 #[test]
@@ -446,11 +449,11 @@
         store.apply(revision - 1, revision, vec![document(&format!("k{i}"), revision)]);
         store.apply(revision, revision + 1, vec![removed(&format!("k{i}"), revision + 1)]);
     }
-    assert!(store.since(4000).documents.len() < 10);
-    assert_eq!(store.since(1000).after, 0);
-    assert_eq!(store.whole().len(), 2);
+    assert!(store.delta_since(4000).documents.len() < 10);
+    assert_eq!(store.delta_since(1000).after, 0);
+    assert_eq!(store.all().len(), 2);
     let mut late = self::store();
-    let delta = store.since(5);
+    let delta = store.delta_since(5);
     late.apply(delta.after, delta.revision, delta.documents);
-    assert_eq!(late.whole(), store.whole());
+    assert_eq!(late.all(), store.all());
 }
--- a/crates/basilbank_core/tests/daemons/awake.rs
+++ b/crates/basilbank_core/tests/daemons/awake.rs
@@ -18,16 +18,16 @@
     fleet.run(Duration::from_secs(30));
     let catalogue = catalogue();
     let endpoint = catalogue.endpoints.iter().find(|e| e.role == Role::Decode).unwrap().id;
-    let is_steward = |i: &usize| fleet.states[*i].members.steward(endpoint.0) == Some(vm(*i));
+    let is_steward = |i: &usize| fleet.states[*i].members.owner(endpoint.0) == Some(vm(*i));
     let steward = (0..2).find(is_steward).unwrap();
-    assert!(fleet.states[steward].slots.ledgers[&endpoint].learning.is_none());
+    assert!(fleet.states[steward].slots.ledgers[&endpoint].rebuild.is_none());
 
     fleet.skip(PAUSE);
     fleet.feed(steward, Event::Tick);
 
     let state = &fleet.states[steward];
-    let learns = |l: &basilbank_core::state::Ledger| l.learning.is_some();
+    let learns = |l: &basilbank_core::state::Ledger| l.rebuild.is_some();
     assert!(state.slots.ledgers.get(&endpoint).is_none_or(learns));
     let now = fleet.now().mono;
-    assert!(state.orders.since.values().all(|since| now <= *since));
+    assert!(state.orders.owned_since.values().all(|since| now <= *since));
 }
--- a/crates/basilbank_core/tests/daemons/claims.rs
+++ b/crates/basilbank_core/tests/daemons/claims.rs
@@ -25,7 +25,7 @@
 
 /// How many daemons remember a key.
 fn remembering(fleet: &Fleet) -> usize {
-    fleet.states.iter().filter(|s| !s.claims.table.is_empty()).count()
+    fleet.states.iter().filter(|s| !s.claims.key_table.is_empty()).count()
 }
 
 pub fn finish_plain(fleet: &mut Fleet, run: usize) {
@@ -37,7 +37,7 @@
 fn resumed_stream(fleet: &Fleet, index: usize, caller: CallerId) -> Option<String> {
     let requests = &fleet.states[index].requests;
     let request = &requests.arena[*requests.callers.get(&caller)?];
-    let resume = request.draft.as_ref()?.resume.as_ref()?;
+    let resume = request.completion.as_ref()?.resume.as_ref()?;
     (resume.offset == 0).then(|| resume.stream.clone())
 }
 
--- a/crates/basilbank_core/tests/daemons/fleet.rs
+++ b/crates/basilbank_core/tests/daemons/fleet.rs
@@ -84,7 +84,7 @@
 
     /// The daemon that decides on an endpoint.
     pub fn steward(&self, endpoint: &str) -> usize {
-        let steward = self.states[0].members.steward(EndpointId::of(endpoint).0);
+        let steward = self.states[0].members.owner(EndpointId::of(endpoint).0);
         (0..self.states.len()).find(|i| Some(vm(*i)) == steward).expect("it is a daemon")
     }
 
--- a/crates/basilbank_core/tests/daemons/orders.rs
+++ b/crates/basilbank_core/tests/daemons/orders.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, ops::RangeInclusive, time::Duration};
 
-use basilbank_core::{effect::EngineCall, prelude::*, state::RollStage};
+use basilbank_core::{effect::EngineCall, prelude::*, state::RolloutStage};
 use test_case::test_case;
 
 use crate::{
@@ -60,7 +60,7 @@
 /// Endpoints of a pool that serve nobody: closed by their steward, or loading.
 fn out_of_service(world: &World, pool: &str) -> usize {
     let states = || world.daemons.iter().filter_map(|d| d.brain.as_ref()?.state());
-    let closed = |id| states().any(|s| s.orders.rolls.get(&id).is_some_and(|r| r.is_closed()));
+    let closed = |id| states().any(|s| s.orders.rollouts.get(&id).is_some_and(|r| r.is_closed()));
     let of_pool = world.endpoints.iter().filter(|e| e.name.starts_with(pool));
     of_pool.filter(|e| e.version.is_empty() || closed(e.id)).count()
 }
@@ -132,7 +132,7 @@
     let steward = run_until_some(&mut world, |world| {
         world.daemons.iter().position(|daemon| {
             let state = daemon.brain.as_ref().and_then(|b| b.state());
-            state.is_some_and(|s| s.orders.rolls.values().any(|r| r.is_closed()))
+            state.is_some_and(|s| s.orders.rollouts.values().any(|r| r.is_closed()))
         })
     });
     let daemon = Who::Daemon(steward);
@@ -216,8 +216,8 @@
         orders_for(&mut self.0, 0, report, seconds)
     }
 
-    fn roll(&self) -> Option<&RollStage> {
-        self.0.states[0].orders.rolls.get(&EndpointId::of("decode-0")).map(|r| &r.stage)
+    fn roll(&self) -> Option<&RolloutStage> {
+        self.0.states[0].orders.rollouts.get(&EndpointId::of("decode-0")).map(|r| &r.stage)
     }
 }
 
@@ -278,7 +278,7 @@
 fn a_busy_endpoint_is_not_ordered() {
     let mut alone = Alone::new(catalogue());
     assert_eq!(alone.run(&load("v0", 0, 1), 60), []);
-    assert_eq!(alone.roll(), Some(&RollStage::Draining { empty: None }));
+    assert_eq!(alone.roll(), Some(&RolloutStage::Draining { empty_since: None }));
     assert_eq!(alone.0.states[0].members.own, vm(0));
 }
 
@@ -290,7 +290,7 @@
     alone.run(&load("v1", 0, 0), 1);
     alone.0.call(0, None, draft());
     assert_eq!(alone.run(&load("v0", 0, 0), 6), []);
-    let closed = alone.0.states[0].orders.rolls.values().any(|r| r.is_closed());
+    let closed = alone.0.states[0].orders.rollouts.values().any(|r| r.is_closed());
     assert!(closed, "it drains");
 }
 
@@ -316,8 +316,8 @@
     fleet.run(SECOND * 20);
     let steward = fleet.steward("decode-0");
     let is_empty = |fleet: &Fleet| {
-        let roll = fleet.states[steward].orders.rolls.get(&EndpointId::of("decode-0"));
-        matches!(roll.map(|r| r.stage), Some(RollStage::Draining { empty: Some(_) }))
+        let roll = fleet.states[steward].orders.rollouts.get(&EndpointId::of("decode-0"));
+        matches!(roll.map(|r| r.stage), Some(RolloutStage::Draining { empty_since: Some(_) }))
     };
     while !is_empty(&fleet) {
         report(&mut fleet, steward, 0);
--- a/crates/basilbank_core/tests/daemons/voters.rs
+++ b/crates/basilbank_core/tests/daemons/voters.rs
@@ -4,7 +4,7 @@
 
 use basilbank_core::{
     prelude::*,
-    state::{ClaimKey, ClaimPhase, made_at},
+    state::{ClaimKey, ClaimPhase, uuid_v7_unix_ms},
 };
 use basilbank_wire::{KeyRecord, Settle, Verdict};
 use test_case::test_case;
@@ -125,7 +125,7 @@
         }
     }
     assert!((10..=15).contains(&ran.len()), "{}", ran.len());
-    assert!(fleet.states.iter().all(|s| s.claims.table.len() <= 10));
+    assert!(fleet.states.iter().all(|s| s.claims.key_table.len() <= 10));
     assert!(fleet.notes.iter().any(|(_, name)| *name == "key_table_full"));
     for key in &ran {
         let repeat = fleet.call(1, Some(key), stock_order());
@@ -155,7 +155,7 @@
         let message = Body::Settle(settle(outcome)).into();
         fleet.say(1, 0, message);
     }
-    let entry = fleet.states[0].claims.table.get(&key).unwrap();
+    let entry = fleet.states[0].claims.key_table.get(&key).unwrap();
     assert_eq!(entry.record.outcome, Outcome::Done.code());
 }
 
@@ -168,7 +168,7 @@
     fleet.say(1, 0, message);
     let Some(Body::Vote(vote)) = &fleet.parcels[0].message.body else { panic!("no vote") };
     assert_eq!(vote.verdict(), Verdict::Abstain);
-    assert!(fleet.states[0].claims.table.is_empty());
+    assert!(fleet.states[0].claims.key_table.is_empty());
 }
 
 #[test_case("0190163d-8694-739b-aea5-966c26f8ad91", 1_718_360_049_300; "version 7")]
@@ -178,5 +178,5 @@
 #[test_case("order-1", 0; "not a UUID")]
 #[test_case("0190163dx8694-739b-aea5-966c26f8ad91", 0; "no hyphen")]
 fn a_key_carries_its_time_only_as_uuid_v7(key: &str, made: u64) {
-    assert_eq!(made_at(key), made);
+    assert_eq!(uuid_v7_unix_ms(key), made);
 }
--- a/crates/basilbank_core/tests/limits.rs
+++ b/crates/basilbank_core/tests/limits.rs
@@ -158,7 +158,7 @@
     let mut world = world(8, requests(80.0));
     let entry = EntryId::of(&format!("{}-sapporo", world.spec.service));
     world.run_until(START);
-    let vm = world.daemons[0].core().members.steward(entry.0);
+    let vm = world.daemons[0].core().members.owner(entry.0);
     let steward = world.daemons.iter().position(|d| Some(d.vm) == vm).expect("it is a daemon");
     world.at(START, Step::Kill { daemon: Who::Daemon(steward), back: Some(SECOND * 10) });
     let other = world.daemons[(steward + 1) % 8].vm;
@@ -189,7 +189,7 @@
     offer(&mut world, 320, 30, |i| i as usize % 8);
     world.run_until(START + SECOND * 5);
     let entry = EntryId::of(&format!("{}-sapporo", world.spec.service));
-    let vm = world.daemons[0].core().members.steward(entry.0);
+    let vm = world.daemons[0].core().members.owner(entry.0);
     let steward = world.daemons.iter().position(|d| Some(d.vm) == vm).expect("it is a daemon");
     world.at(world.now, Step::Kill { daemon: Who::Daemon(steward), back: Some(SECOND * 12) });
     world.run_until(START + SECOND * 32);
@@ -246,8 +246,8 @@
     let mut world = world(8, Limits { requests: 40.0, tokens: 1e6, concurrent: 9, owed: 0.0 });
     offer(&mut world, 100, 5, |i| i as usize % 8);
     world.run_until(START + SECOND * 5);
-    assert!(world.daemons.iter().all(|d| !d.core().limits.used.is_empty()));
+    assert!(world.daemons.iter().all(|d| !d.core().limits.usages.is_empty()));
     world.run_until(START + SECOND * 100);
-    assert!(world.daemons.iter().all(|d| d.core().limits.used.is_empty()));
+    assert!(world.daemons.iter().all(|d| d.core().limits.usages.is_empty()));
     assert!(world.daemons.iter().all(|d| d.core().limits.shared.is_empty()));
 }
--- a/crates/basilbank_core/tests/membership.rs
+++ b/crates/basilbank_core/tests/membership.rs
@@ -46,7 +46,7 @@
     for subject in 0..100 {
         for daemon in daemons(&world) {
             let members = &state(&world, daemon).members;
-            assert_eq!(members.steward(subject), first.members.steward(subject));
+            assert_eq!(members.owner(subject), first.members.owner(subject));
             assert_eq!(members.voters(subject), first.members.voters(subject));
         }
     }
@@ -78,14 +78,14 @@
 #[test_case(64)]
 fn a_dead_daemon_loses_its_subjects_and_nobody_elses(count: usize) {
     let mut world = started(count);
-    let before: Vec<_> = (0..500).map(|s| state(&world, 0).members.steward(s)).collect();
+    let before: Vec<_> = (0..500).map(|s| state(&world, 0).members.owner(s)).collect();
     world.at(SECOND * 4, Step::Kill { daemon: Who::Daemon(3), back: None });
     world.run_until(SECOND * 12);
     for daemon in daemons(&world) {
         let members = &state(&world, daemon).members;
         assert!(!members.is_live(vm(3)));
         for (subject, before) in before.iter().enumerate() {
-            let after = members.steward(subject as u64);
+            let after = members.owner(subject as u64);
             assert_ne!(after, Some(vm(3)));
             assert!(*before == Some(vm(3)) || *before == after);
         }
@@ -152,7 +152,7 @@
         let message = Body::Heartbeat(beat).into();
         brain.reduce(now, Event::Peer { from: vm(1), incarnation, message }, &mut Vec::new());
         let members = &brain.state().expect("the product").members;
-        (members.all[&vm(1)].counter, members.incarnation(vm(1)))
+        (members.all[&vm(1)].heartbeat_counter, members.incarnation(vm(1)))
     };
     let new = u64::MAX;
     assert_eq!(heard(7, new), (7, Some(new)));
@@ -212,13 +212,13 @@
 fn a_daemon_that_shuts_down_gives_its_subjects_up_at_once() {
     let mut world = started(8);
     let mine: Vec<_> =
-        (0..200).filter(|s| state(&world, 0).members.steward(*s) == Some(vm(4))).collect();
+        (0..200).filter(|s| state(&world, 0).members.owner(*s) == Some(vm(4))).collect();
     assert!(!mine.is_empty());
     world.at(SECOND * 4, Step::Shutdown(Who::Daemon(4)));
     world.run_until(SECOND * 6);
     for daemon in daemons(&world) {
         let members = &state(&world, daemon).members;
-        assert!(mine.iter().all(|s| members.steward(*s) != Some(vm(4))));
+        assert!(mine.iter().all(|s| members.owner(*s) != Some(vm(4))));
     }
 }
 
@@ -233,7 +233,7 @@
     brain.reduce(now, Event::Shutdown, &mut Vec::new());
     let members = &brain.state().expect("the product").members;
     assert!(members.may_decide());
-    assert_eq!(members.steward(1), Some(vm(0)));
+    assert_eq!(members.owner(1), Some(vm(0)));
 }
 
 #[test]
@@ -256,7 +256,7 @@
     world.run_until(SECOND * 12);
     for daemon in 0..8 {
         let members = &state(&world, daemon).members;
-        assert!((0..100).all(|s| members.steward(s) != Some(vm(6))));
+        assert!((0..100).all(|s| members.owner(s) != Some(vm(6))));
     }
 }
 
--- a/crates/basilbank_core/tests/policy/hints.rs
+++ b/crates/basilbank_core/tests/policy/hints.rs
@@ -4,7 +4,7 @@
 
 use basilbank_core::{
     ids::EndpointId,
-    state::{Lag, Prefixes},
+    state::{Overrun, PrefixIndex},
 };
 
 fn blocks(prompt: u64) -> Vec<u64> {
@@ -16,7 +16,7 @@
 /// Cause (guarded against): hints that are kept until an endpoint says that they are void.
 #[test]
 fn hints_are_bounded_and_the_newest_stay() {
-    let mut prefixes = Prefixes::default();
+    let mut prefixes = PrefixIndex::default();
     let endpoint = EndpointId::of("prefill-1");
     for prompt in 0..2_000 {
         blocks(prompt).iter().for_each(|block| prefixes.add(*block, endpoint));
@@ -33,7 +33,7 @@
 /// prompt's own.
 #[test]
 fn what_is_said_again_is_not_forgotten() {
-    let mut prefixes = Prefixes::default();
+    let mut prefixes = PrefixIndex::default();
     let endpoints = ["a", "b", "c"].map(EndpointId::of);
     let shared = blocks(77);
     for prompt in 1_000..2_000 {
@@ -42,7 +42,7 @@
         }
     }
     let prompt: Vec<_> = shared.iter().copied().chain(blocks(5)).collect();
-    let own = prefixes.first_own(&prompt, 2);
+    let own = prefixes.first_rare(&prompt, 2);
     assert!(own.is_some_and(|block| !shared.contains(&block)), "{own:?}");
 }
 
@@ -51,7 +51,7 @@
 /// Cause: the mean was added where nearly all should be covered.
 #[test]
 fn most_work_takes_no_longer_than_is_promised() {
-    let mut lag = Lag::default();
+    let mut lag = Overrun::default();
     let expected = Duration::from_millis(100);
     let took = |i: u32| Duration::from_millis(u64::from(140 + i * 37 % 61));
     (0..400).for_each(|i| lag.add(expected, took(i)));
--- a/crates/basilbank_core/tests/policy/ledgers.rs
+++ b/crates/basilbank_core/tests/policy/ledgers.rs
@@ -4,7 +4,7 @@
 
 use basilbank_core::{
     ids::{EndpointId, EntryId, RequestId, VmId},
-    state::{Group, Learning, Lease, Ledger, Seen, SlotKey, Waiter, Waiting},
+    state::{Group, Ledger, Rebuild, ReportedLoad, SlotKey, SlotLease, WaitQueue, Waiter},
 };
 
 fn at(millis: u64) -> Duration {
@@ -21,31 +21,31 @@
         vm: VmId::of("entry-1"),
         entry: EntryId::of("scopes"),
         tokens: 100,
-        sent: 0,
+        transfer_tokens: 0,
         due: at(due),
-        until: at(60_000),
-        since: at(request),
+        deadline: at(60_000),
+        arrived_at: at(request),
         begun: false,
-        first: true,
+        can_preempt: true,
     }
 }
 
-fn lease(since: u64) -> Lease {
-    Lease {
+fn lease(since: u64) -> SlotLease {
+    SlotLease {
         vm: VmId::of("entry-1"),
         entry: EntryId::of("scopes"),
         tokens: 100,
-        sent: 0,
-        since: at(since),
-        until: at(since + 6000),
-        done: at(since),
+        transfer_tokens: 0,
+        granted_at: at(since),
+        expires_at: at(since + 6000),
+        done_at: at(since),
         lent: false,
-        preempted: None,
+        preempted_at: None,
     }
 }
 
-fn order(waiting: &Waiting) -> Vec<(Group, u64)> {
-    let all = waiting.lines().flat_map(|(_, line)| line.iter());
+fn order(waiting: &WaitQueue) -> Vec<(Group, u64)> {
+    let all = waiting.queues().flat_map(|(_, line)| line.iter());
     all.map(|(group, waiter)| (group, waiter.key.request.0)).collect()
 }
 
@@ -53,29 +53,29 @@
 /// Sequence: by deadline alone, what is late longest comes first.
 #[test]
 fn what_is_late_goes_behind_what_is_not() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     waiting.insert(waiter(1, 500), at(0));
     waiting.insert(waiter(2, 900), at(0));
-    waiting.insert(Waiter { sent: 2000, ..waiter(3, 2000) }, at(0));
+    waiting.insert(Waiter { transfer_tokens: 2000, ..waiter(3, 2000) }, at(0));
     waiting.insert(Waiter { begun: true, ..waiter(4, 0) }, at(0));
     let first = [(Group::Begun, 4), (Group::Cached, 3), (Group::InTime, 1), (Group::InTime, 2)];
     assert_eq!(order(&waiting), first);
-    waiting.note_late(at(600));
+    waiting.demote_late(at(600));
     let then = [(Group::Begun, 4), (Group::Cached, 3), (Group::InTime, 2), (Group::Late, 1)];
     assert_eq!(order(&waiting), then);
-    assert_eq!(waiting.place(key(1)), Some((Group::Late, 3)));
+    assert_eq!(waiting.position(key(1)), Some((Group::Late, 3)));
 }
 
 /// Symptom: a reservation that is sent again, in case it was lost, takes two places.
 #[test]
 fn a_reservation_waits_once_however_often_it_is_sent() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     waiting.insert(waiter(1, 500), at(0));
-    waiting.insert(Waiter { since: at(200), ..waiter(1, 500) }, at(200));
+    waiting.insert(Waiter { arrived_at: at(200), ..waiter(1, 500) }, at(200));
     assert_eq!(waiting.len(), 1);
-    assert_eq!(waiting.get(key(1)).map(|w| w.since), Some(at(1)));
+    assert_eq!(waiting.get(key(1)).map(|w| w.arrived_at), Some(at(1)));
     assert!(waiting.remove(key(1)).is_some());
-    assert!(waiting.is_empty() && waiting.lines().next().is_none());
+    assert!(waiting.is_empty() && waiting.queues().next().is_none());
 }
 
 /// Symptom: twice as many requests as slots after a steward was replaced.
@@ -85,15 +85,15 @@
 fn a_new_steward_grants_what_the_report_proves_free() {
     let mut ledger = Ledger { slots: 20, ..Ledger::default() };
     let missing = [VmId::of("entry-2")].into();
-    ledger.learning = Some(Learning { missing, unread: true, until: at(2000) });
-    assert_eq!(ledger.free(), 0, "nothing is proved");
-    ledger.seen = Some(Seen { running: 15, at: at(100) });
-    assert_eq!(ledger.free(), 5);
-    ledger.lease(key(1), lease(150));
-    assert_eq!(ledger.free(), 4, "the report does not know of this one");
-    ledger.learning = None;
-    ledger.foreign = 15;
-    assert_eq!(ledger.free(), 4);
+    ledger.rebuild = Some(Rebuild { missing, needs_report: true, deadline: at(2000) });
+    assert_eq!(ledger.free_slots(), 0, "nothing is proved");
+    ledger.reported_load = Some(ReportedLoad { running: 15, measured_at: at(100) });
+    assert_eq!(ledger.free_slots(), 5);
+    ledger.add_lease(key(1), lease(150));
+    assert_eq!(ledger.free_slots(), 4, "the report does not know of this one");
+    ledger.rebuild = None;
+    ledger.unaccounted = 15;
+    assert_eq!(ledger.free_slots(), 4);
 }
 
 /// Symptom: an endpoint counts as fuller than it is, for one report's time.
@@ -102,10 +102,10 @@
 #[test]
 fn leases_that_ended_since_a_report_are_known() {
     let mut ledger = Ledger { slots: 20, ..Ledger::default() };
-    ledger.lease(key(1), lease(100));
-    ledger.end(key(1), at(500));
-    assert_eq!(ledger.ended_since(at(400)), 1);
-    assert_eq!(ledger.ended_since(at(600)), 0);
+    ledger.add_lease(key(1), lease(100));
+    ledger.end_lease(key(1), at(500));
+    assert_eq!(ledger.leases_ended_since(at(400)), 1);
+    assert_eq!(ledger.leases_ended_since(at(600)), 0);
 }
 
 /// Symptom: a service without a queue refuses a third of all calls, however long it does.
@@ -113,15 +113,15 @@
 /// Cause (guarded against): a refusal that only the refused call's daemon hears of.
 #[test]
 fn a_service_that_refuses_extra_calls_gets_fewer() {
-    let mut ledger = Ledger { slots: 6, extra: 2, ..Ledger::default() };
+    let mut ledger = Ledger { slots: 6, extra_slots: 2, ..Ledger::default() };
     for _ in 0..5 {
-        ledger.note_full();
+        ledger.record_full();
     }
-    assert_eq!(ledger.free(), 4, "never below what it has");
+    assert_eq!(ledger.free_slots(), 4, "never below what it has");
     for _ in 0..200 {
-        ledger.note_served();
+        ledger.record_served();
     }
-    assert_eq!(ledger.free(), 5, "one more is tried after a while");
+    assert_eq!(ledger.free_slots(), 5, "one more is tried after a while");
 }
 
 /// Symptom: a decode endpoint is granted again and again though it is full.
@@ -130,6 +130,6 @@
 #[test]
 fn a_refusal_as_full_counts_until_the_next_report() {
     let mut ledger = Ledger { slots: 20, ..Ledger::default() };
-    ledger.note_full();
-    assert_eq!(ledger.free(), 19);
+    ledger.record_full();
+    assert_eq!(ledger.free_slots(), 19);
 }
--- a/crates/basilbank_core/tests/world/brain.rs
+++ b/crates/basilbank_core/tests/world/brain.rs
@@ -52,7 +52,7 @@
     }
 
     fn wake_at(&self) -> Option<Duration> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
     fn is_ready(&self) -> bool {
--- a/crates/basilbank_core/tests/world/faults.rs
+++ b/crates/basilbank_core/tests/world/faults.rs
@@ -148,7 +148,7 @@
                 let Some(endpoint) = self.place(Place::Current(ask)) else { return home };
                 let subject = self.endpoints[endpoint].id.0;
                 let state = self.daemons[home].brain.as_ref().and_then(|b| b.state());
-                let steward = state.and_then(|s| s.members.steward(subject));
+                let steward = state.and_then(|s| s.members.owner(subject));
                 let number = steward.and_then(|vm| self.vms.get(&vm).copied());
                 number.unwrap_or(home)
             }
