--- a/crates/basilbank_core/src/reduce/catalogue/check.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/check.rs
@@ -2,41 +2,42 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::{currency, note};
+use super::{freshness, note};
 use crate::{
     catalogue::Catalogue,
     effect::Effect,
-    state::{Check, State, View},
+    state::{CatalogueCheck, State, View},
     time::Now,
 };
 
 /// Least time between two checks, so that a burst of changes is compiled together.
-const GAP: Duration = Duration::from_millis(300);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// A check that was not answered for this long is asked for again.
-const LOST: Duration = Duration::from_secs(30);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Asks for a check of the newest documents if they were not checked yet.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let store = &state.documents.store;
     let accepted = &mut state.documents.accepted;
     if let Some(check) = &accepted.check {
-        if now.mono < check.since + LOST {
+        if now.mono < check.started_at + CHECK_TIMEOUT {
             return;
         }
-        accepted.checked = accepted.checked.min(check.revision.saturating_sub(1));
-        accepted.failed();
+        accepted.checked_revision = accepted.checked_revision.min(check.revision.saturating_sub(1));
+        accepted.check_failed();
     }
-    let too_soon = 0 < accepted.checked && now.mono < accepted.asked + GAP;
-    if store.revision <= accepted.checked || too_soon {
+    let is_too_soon =
+        0 < accepted.checked_revision && now.mono < accepted.last_check + MIN_CHECK_INTERVAL;
+    if store.revision <= accepted.checked_revision || is_too_soon {
         return;
     }
     let revision = store.revision;
-    accepted.start(Check { revision, since: now.mono, accepted: None });
-    out.push(Effect::CheckCatalogue { revision, documents: store.whole() });
+    accepted.begin_check(CatalogueCheck { revision, started_at: now.mono, accepted: None });
+    out.push(Effect::CheckCatalogue { revision, documents: store.all() });
 }
 
 /// Takes a checked catalogue into force, unless it is older than the one in force.
-pub fn checked(
+pub fn on_checked(
     state: &mut State,
     now: Now,
     revision: u64,
@@ -44,21 +45,21 @@
     out: &mut Vec<Effect>,
 ) {
     let documents = &mut state.documents;
-    let is_awaited = documents.accepted.check.as_ref().is_some_and(|c| c.revision == revision);
+    let is_pending = documents.accepted.check.as_ref().is_some_and(|c| c.revision == revision);
     match result {
         Ok(catalogue) if state.view.catalogue.revision < revision => {
-            if is_awaited {
-                documents.accepted.passed(&documents.store);
+            if is_pending {
+                documents.accepted.check_passed(&documents.store);
             }
             state.view = View::new(catalogue);
-            documents.untold = true;
+            documents.unreported = true;
             note(out, "catalogue_in_force", vec![("revision", revision.to_string())]);
         }
-        Ok(_) if is_awaited => documents.accepted.failed(),
+        Ok(_) if is_pending => documents.accepted.check_failed(),
         Ok(_) => {}
         Err(findings) => {
-            if is_awaited {
-                documents.accepted.failed();
+            if is_pending {
+                documents.accepted.check_failed();
             }
             let pairs =
                 vec![("revision", revision.to_string()), ("findings", findings.to_string())];
@@ -66,6 +67,6 @@
         }
     }
     tick(state, now, out);
-    currency::settle(state, now, out);
-    super::tell(state, now, out);
+    freshness::update(state, now, out);
+    super::announce(state, now, out);
 }
--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -1,42 +1,43 @@
 //! At most one run for an idempotency key: the side of the daemon that wants to run a request.
 
-mod succeed;
+mod takeover;
 mod vote;
 
 use std::time::Duration;
 
 use basilbank_wire::{Body, Claim, KeyRecord, Settle, Verdict, Vote};
 
-pub use self::vote::{asked, list_changed, told};
+pub use self::vote::{on_claim, on_settle, update_tenure};
 use crate::{
     effect::{Effect, EngineCall, Progress},
     ids::{RequestId, RequestKey, VmId},
     reason::{Outcome, Refusal},
     reduce::{admit, settle},
     state::{
-        Ballot, ClaimKey, ClaimPhase, OwnClaim, Request, Standing, State, Timer, Waited, made_at,
+        ClaimKey, ClaimPhase, ClaimStatus, OwnClaim, Request, State, Timer, VoteWait, Voter,
+        uuid_v7_unix_ms,
     },
     time::Now,
 };
 
 /// Times that a voter is asked before a claim is given up.
-const ASK_ROUNDS: u32 = 4;
+const MAX_VOTE_REQUESTS: u32 = 4;
 /// Times that a voter is told something before it is left to find out by expiry.
-const TELL_ROUNDS: u32 = 5;
+const MAX_RECORD_SENDS: u32 = 5;
 /// Each wait for a voter's confirmation is this many times the one before.
-const TELL_GROWTH: u32 = 4;
+const SEND_BACKOFF_FACTOR: u32 = 4;
 /// When a caller should come back whose key the voters can't tell from a repeat.
-const COME_BACK: Duration = Duration::from_secs(5);
+const UNDECIDED_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// A running request's key is renewed this many times in a key window.
-const RENEWALS: u32 = 4;
+const RENEWALS_PER_WINDOW: u32 = 4;
 
 /// Claims an accepted request's key. The request waits; `admit::claimed`, `admit::joined` or
 /// `settle::refuse` follows, perhaps at once.
 pub fn begin(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.arena.get(key) else { return };
-    let Some(text) = &request.idempotency else { return };
+    let Some(text) = &request.idempotency_key else { return };
     let name = ClaimKey::new(request.team, text);
-    let made = made_at(text);
+    let made = uuid_v7_unix_ms(text);
     let id = request.id;
     let record = KeyRecord {
         request: id.0,
@@ -49,23 +50,23 @@
     let claim = OwnClaim {
         request: key,
         key: name,
-        made,
-        ballots: voters.into_iter().map(Ballot::new).collect(),
+        key_time: made,
+        voters: voters.into_iter().map(Voter::new).collect(),
         phase: ClaimPhase::Asking,
         is_sent: false,
         record,
-        after: 0,
-        deadline: now.mono + state.local.tuning.peer_timeout * ASK_ROUNDS,
-        sent: 0,
-        due: now.mono,
+        predecessor: 0,
+        deadline: now.mono + state.local.tuning.peer_timeout * MAX_VOTE_REQUESTS,
+        send_count: 0,
+        resend_at: now.mono,
     };
     state.claims.own.insert(id, claim);
-    ask(state, now, id, out);
-    decide(state, now, id, Waited::Little, out);
+    request_votes(state, now, id, out);
+    evaluate_votes(state, now, id, VoteWait::Pending, out);
 }
 
 /// A voter answered.
-pub fn voted(state: &mut State, now: Now, from: VmId, vote: &Vote, out: &mut Vec<Effect>) {
+pub fn on_vote(state: &mut State, now: Now, from: VmId, vote: &Vote, out: &mut Vec<Effect>) {
     let id = RequestId(vote.request);
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if ClaimKey::from_bytes(&vote.key) != Some(claim.key) {
@@ -73,15 +74,15 @@
     }
     if claim.phase != ClaimPhase::Asking {
         if vote.verdict() == Verdict::Done {
-            claim.note_told(from);
-            forget_if_told(state, id);
+            claim.record_ack(from);
+            forget_if_confirmed(state, id);
         }
         return;
     }
-    if !claim.awaits(from) {
+    if !claim.is_awaiting(from) {
         return;
     }
-    claim.note_vote(from, vote.verdict(), vote.record.clone());
+    claim.record_vote(from, vote.verdict(), vote.record.clone());
     // A process that was paused finds votes in its socket that are older than the claim's time
     // limit. By then voters that came up in between may have begun to grant the key to others, so
     // such votes no longer add up: the claim ends as it would have without the pause.
@@ -89,36 +90,37 @@
         give_up(state, now, id, out);
         return;
     }
-    decide(state, now, id, Waited::Little, out);
+    evaluate_votes(state, now, id, VoteWait::Pending, out);
 }
 
 /// Votes or confirmations did not come in time, or there is something to tell the voters.
-pub fn timed_out(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
+pub fn on_timer(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
-    if now.mono < claim.due {
+    if now.mono < claim.resend_at {
         return;
     }
-    let is_settled = claim.sent != 0 && (claim.is_told() || TELL_ROUNDS <= claim.sent);
+    let is_send_done =
+        claim.send_count != 0 && (claim.is_acknowledged() || MAX_RECORD_SENDS <= claim.send_count);
     match claim.phase {
         ClaimPhase::Asking if claim.deadline <= now.mono => give_up(state, now, id, out),
         ClaimPhase::Asking => {
-            decide(state, now, id, Waited::Enough, out);
-            ask(state, now, id, out);
-            decide(state, now, id, Waited::Little, out);
+            evaluate_votes(state, now, id, VoteWait::TimedOut, out);
+            request_votes(state, now, id, out);
+            evaluate_votes(state, now, id, VoteWait::Pending, out);
         }
-        ClaimPhase::Held if is_settled => {
-            claim.renew();
-            wait(state, now, id, renewal(state));
+        ClaimPhase::Held if is_send_done => {
+            claim.reset_acks();
+            schedule(state, now, id, renewal_interval(state));
         }
-        ClaimPhase::Ending if is_settled => {
+        ClaimPhase::Ending if is_send_done => {
             state.claims.own.remove(&id);
         }
-        ClaimPhase::Held | ClaimPhase::Ending => tell(state, now, id, out),
+        ClaimPhase::Held | ClaimPhase::Ending => send_record(state, now, id, out),
     }
 }
 
 /// A request's stream has a place now: its voters should know, so that a repeat can join it.
-pub fn located(state: &mut State, key: RequestKey) {
+pub fn publish_stream(state: &mut State, key: RequestKey) {
     let Some(request) = state.requests.arena.get(key) else { return };
     let Some((endpoint, stream)) = state.requests.stream(key) else { return };
     let Some(claim) = state.claims.own.get_mut(&request.id) else { return };
@@ -127,16 +129,17 @@
     }
     // A stream that continues another one lacks the answer's beginning. A repeat that joined it would
     // take its first token for the answer's first: a text that starts in the middle of a sentence.
-    let is_whole = state.requests.current(key).is_some_and(|(_, attempt)| attempt.base == 0);
+    let is_whole =
+        state.requests.current_attempt(key).is_some_and(|(_, attempt)| attempt.base_offset == 0);
     claim.record.endpoint = if is_whole { endpoint.0 } else { 0 };
     claim.record.stream = if is_whole { stream.to_owned() } else { String::new() };
     let id = request.id;
-    publish(state, id);
+    publish_record(state, id);
 }
 
 /// A request's stream is read on by another one with the same key. The voters keep what they know, so
 /// that a later repeat still finds the stream.
-pub fn handed_on(state: &mut State, key: RequestKey) {
+pub fn forget_handed_over(state: &mut State, key: RequestKey) {
     if let Some(request) = state.requests.arena.get(key) {
         state.claims.own.remove(&request.id);
     }
@@ -147,11 +150,11 @@
 /// A request of which nothing was run gives its key back, so that the caller's retry can run. So does
 /// a repeatable one whose caller left before the end: the caller that comes again with the same key
 /// has not had its answer.
-pub fn ended(state: &mut State, request: &Request, outcome: Outcome) {
+pub fn on_ended(state: &mut State, request: &Request, outcome: Outcome) {
     let is_sent = state.claims.own.get(&request.id).is_some_and(|claim| claim.is_sent);
-    let is_freed = outcome == Outcome::Abandoned && (!is_sent || request.repeatable);
-    let outcome = if is_freed { Outcome::NotRun } else { outcome };
-    end(state, request.id, outcome);
+    let releases_key = outcome == Outcome::Abandoned && (!is_sent || request.repeatable);
+    let outcome = if releases_key { Outcome::NotRun } else { outcome };
+    publish_outcome(state, request.id, outcome);
 }
 
 /// Refuses requests that won their key so long ago that voters may forget it before they hear that
@@ -161,12 +164,12 @@
 /// a request that a repeat may have run in the meantime. The symptom is one order placed twice, with
 /// the first daemon's log silent in between. Called before each event, as any event may lead to
 /// sending.
-pub fn expire(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    while let Some(&(at, id)) = state.claims.unsent.front() {
+pub fn refuse_expired(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    while let Some(&(at, id)) = state.claims.send_deadlines.front() {
         if now.mono < at {
             return;
         }
-        state.claims.unsent.pop_front();
+        state.claims.send_deadlines.pop_front();
         let Some(claim) = state.claims.own.get(&id) else { continue };
         let key = claim.request;
         if claim.phase == ClaimPhase::Held && !claim.is_sent {
@@ -176,14 +179,14 @@
 }
 
 /// Remembers the claims whose requests were sent somewhere by the effects of one event.
-pub fn remember(state: &mut State, effects: &[Effect]) {
+pub fn record_sent(state: &mut State, effects: &[Effect]) {
     if state.claims.own.is_empty() {
         return;
     }
     for effect in effects {
         let Effect::Engine(call) = effect else { continue };
         let request = match call {
-            EngineCall::Prefill(draft) | EngineCall::Decode { draft, .. } => draft.request,
+            EngineCall::Prefill(draft) | EngineCall::Decode { call: draft, .. } => draft.request,
             EngineCall::Resume { request, .. } | EngineCall::Plain { request, .. } => *request,
             _ => continue,
         };
@@ -194,7 +197,7 @@
 }
 
 /// Asks voters for the key. Live ones go first, and this daemon itself before all others.
-fn ask(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
+fn request_votes(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase != ClaimPhase::Asking {
         return;
@@ -204,52 +207,58 @@
     let message = Claim {
         key: claim.key.0.to_vec(),
         request: id.0,
-        made: claim.made,
+        made: claim.key_time,
         incarnation: claim.record.incarnation,
         repeatable: claim.record.repeatable,
-        after: claim.after,
+        after: claim.predecessor,
     };
     let own = state.local.vm;
     for vm in voters {
         if vm == own {
             let vote = vote::cast(state, now, own, &message, out);
             if let Some(claim) = state.claims.own.get_mut(&id) {
-                claim.note_vote(own, vote.verdict(), vote.record);
+                claim.record_vote(own, vote.verdict(), vote.record);
             }
         } else {
             out.push(Effect::Send { to: vm, message: Body::Claim(message.clone()).into() });
         }
     }
-    wait(state, now, id, state.local.tuning.peer_timeout);
+    schedule(state, now, id, state.local.tuning.peer_timeout);
 }
 
 /// Acts on the votes so far.
-fn decide(state: &mut State, now: Now, id: RequestId, waited: Waited, out: &mut Vec<Effect>) {
+fn evaluate_votes(
+    state: &mut State,
+    now: Now,
+    id: RequestId,
+    waited: VoteWait,
+    out: &mut Vec<Effect>,
+) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase != ClaimPhase::Asking {
         return;
     }
     let key = claim.request;
-    match claim.standing(waited) {
-        Standing::Open if claim.wants_more() => {
-            ask(state, now, id, out);
-            decide(state, now, id, waited, out);
+    match claim.status(waited) {
+        ClaimStatus::Undecided if claim.needs_more_voters() => {
+            request_votes(state, now, id, out);
+            evaluate_votes(state, now, id, waited, out);
         }
-        Standing::Open => {}
-        Standing::Won => {
+        ClaimStatus::Undecided => {}
+        ClaimStatus::Won => {
             claim.phase = ClaimPhase::Held;
-            claim.renew();
-            wait(state, now, id, renewal(state));
-            let lapse = now.mono + state.local.tuning.key_window / 2;
-            state.claims.unsent.push_back((lapse, id));
-            admit::claimed(state, now, key, out);
+            claim.reset_acks();
+            schedule(state, now, id, renewal_interval(state));
+            let expires_at = now.mono + state.local.tuning.key_window / 2;
+            state.claims.send_deadlines.push_back((expires_at, id));
+            admit::on_key_claimed(state, now, key, out);
         }
-        Standing::Lost(record) => {
-            if succeed::goes_on(state, now, id, record.as_ref()) {
+        ClaimStatus::Lost(record) => {
+            if takeover::reopen_claim(state, now, id, record.as_ref()) {
                 return;
             }
-            end(state, id, Outcome::NotRun);
-            repeat(state, now, key, record, out);
+            publish_outcome(state, id, Outcome::NotRun);
+            answer_repeat(state, now, key, record, out);
         }
     }
 }
@@ -258,25 +267,25 @@
 fn give_up(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get(&id) else { return };
     let key = claim.request;
-    let standing = claim.standing(Waited::Enough);
+    let standing = claim.status(VoteWait::TimedOut);
     let rival = match &standing {
-        Standing::Lost(record) => record.clone(),
-        Standing::Open | Standing::Won => claim.rival(),
+        ClaimStatus::Lost(record) => record.clone(),
+        ClaimStatus::Undecided | ClaimStatus::Won => claim.competing_record(),
     };
-    if succeed::goes_on(state, now, id, rival.as_ref()) {
+    if takeover::reopen_claim(state, now, id, rival.as_ref()) {
         return;
     }
-    end(state, id, Outcome::NotRun);
+    publish_outcome(state, id, Outcome::NotRun);
     match standing {
-        Standing::Lost(record) => repeat(state, now, key, record, out),
-        Standing::Open | Standing::Won => {
+        ClaimStatus::Lost(record) => answer_repeat(state, now, key, record, out),
+        ClaimStatus::Undecided | ClaimStatus::Won => {
             settle::refuse(state, now, key, Refusal::KeyUnclaimed, out);
         }
     }
 }
 
 /// Another request has the key, or nobody can tell: answer without a run.
-fn repeat(
+fn answer_repeat(
     state: &mut State,
     now: Now,
     key: RequestKey,
@@ -285,7 +294,14 @@
 ) {
     let Some(request) = state.requests.arena.get(key) else { return };
     let Some(record) = record else {
-        settle::refuse_until(state, now, key, Refusal::KeyUnclaimed, Some(COME_BACK), out);
+        settle::refuse_with_retry_after(
+            state,
+            now,
+            key,
+            Refusal::KeyUnclaimed,
+            Some(UNDECIDED_RETRY_AFTER),
+            out,
+        );
         return;
     };
     let pairs = vec![
@@ -293,72 +309,72 @@
         ("first", RequestId(record.request).to_string()),
         ("outcome", record.outcome.to_string()),
     ];
-    out.push(Effect::Progress(Progress::Note { name: "key_repeated", pairs }));
+    out.push(Effect::Progress(Progress::Note { name: "key_repeated", fields: pairs }));
     let is_whole = record.outcome == 0 || record.outcome == Outcome::Done.code();
-    if request.draft.is_some() && is_whole && !record.stream.is_empty() {
-        admit::joined(state, now, key, &record, out);
+    if request.completion.is_some() && is_whole && !record.stream.is_empty() {
+        admit::join_stream(state, now, key, &record, out);
     } else if record.outcome == 0 {
         settle::refuse(state, now, key, Refusal::KeyRunning, out);
     } else {
-        settle::unknown(state, now, key, out);
+        settle::end_as_unknown(state, now, key, out);
     }
 }
 
 /// A request ended: the voters are told until they confirm it.
-fn end(state: &mut State, id: RequestId, outcome: Outcome) {
+fn publish_outcome(state: &mut State, id: RequestId, outcome: Outcome) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase == ClaimPhase::Ending {
         return;
     }
     claim.phase = ClaimPhase::Ending;
     claim.record.outcome = outcome.code();
-    publish(state, id);
+    publish_record(state, id);
 }
 
 /// Has the voters told what changed: the timer fires within the same event, and there the time is
 /// known.
-fn publish(state: &mut State, id: RequestId) {
+fn publish_record(state: &mut State, id: RequestId) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
-    claim.renew();
-    claim.due = Duration::ZERO;
+    claim.reset_acks();
+    claim.resend_at = Duration::ZERO;
     state.timers.set(Duration::ZERO, Timer::Claim(id));
 }
 
 /// Sends the record to the voters that have not confirmed it.
-fn tell(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
+fn send_record(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let own = state.local.vm;
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     let message = Settle { key: claim.key.0.to_vec(), record: Some(claim.record.clone()) };
-    let pause = state.local.tuning.peer_timeout * TELL_GROWTH.pow(claim.sent);
-    claim.sent += 1;
-    let untold: Vec<_> =
-        claim.ballots.iter().filter(|b| b.asked && !b.told).map(|b| b.vm).collect();
-    claim.note_told(own);
-    for vm in untold {
+    let delay = state.local.tuning.peer_timeout * SEND_BACKOFF_FACTOR.pow(claim.send_count);
+    claim.send_count += 1;
+    let unconfirmed: Vec<_> =
+        claim.voters.iter().filter(|b| b.asked && !b.acknowledged).map(|b| b.vm).collect();
+    claim.record_ack(own);
+    for vm in unconfirmed {
         if vm == own {
-            vote::note(state, now, &message);
+            vote::apply_settle(state, now, &message);
         } else {
             out.push(Effect::Send { to: vm, message: Body::Settle(message.clone()).into() });
         }
     }
-    wait(state, now, id, pause);
-    forget_if_told(state, id);
+    schedule(state, now, id, delay);
+    forget_if_confirmed(state, id);
 }
 
 /// Sets when to ask or tell again.
-fn wait(state: &mut State, now: Now, id: RequestId, pause: Duration) {
+fn schedule(state: &mut State, now: Now, id: RequestId, delay: Duration) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
-    claim.due = now.mono + pause;
-    state.timers.set(claim.due, Timer::Claim(id));
+    claim.resend_at = now.mono + delay;
+    state.timers.set(claim.resend_at, Timer::Claim(id));
 }
 
-fn renewal(state: &State) -> Duration {
-    state.local.tuning.key_window / RENEWALS
+fn renewal_interval(state: &State) -> Duration {
+    state.local.tuning.key_window / RENEWALS_PER_WINDOW
 }
 
-fn forget_if_told(state: &mut State, id: RequestId) {
+fn forget_if_confirmed(state: &mut State, id: RequestId) {
     let claim = state.claims.own.get(&id);
-    if claim.is_some_and(|c| c.phase == ClaimPhase::Ending && c.is_told()) {
+    if claim.is_some_and(|c| c.phase == ClaimPhase::Ending && c.is_acknowledged()) {
         state.claims.own.remove(&id);
     }
 }
--- a/crates/basilbank_core/src/reduce/deliver.rs
+++ b/crates/basilbank_core/src/reduce/deliver.rs
@@ -1,16 +1,16 @@
-//! Tokens to the caller: in order, and each once.
+//! Delivery of tokens to the caller, in order and each of them once.
 
 use crate::{
     effect::{Answer, Effect, Progress},
     ids::AttemptKey,
     reason::{Outcome, Waste},
-    reduce::{charge, reserve, resume, retry, settle},
+    reduce::{reserve, resume, retry, settle, waste},
     state::{AttemptStage, State},
     time::Now,
 };
 
-/// Tokens came: pass on those that the caller lacks.
-pub fn tokens(
+/// Passes on the received tokens that the caller does not have yet.
+pub fn on_tokens(
     state: &mut State,
     now: Now,
     key: AttemptKey,
@@ -22,44 +22,44 @@
     if attempt.stage != AttemptStage::Stream {
         return;
     }
-    if attempt.taken < offset {
-        return missing(state, now, key, out);
+    if attempt.next_offset < offset {
+        return handle_gap(state, now, key, out);
     }
-    let doubled = (attempt.taken - offset) as usize;
+    let duplicates = (attempt.next_offset - offset) as usize;
     let request = &mut state.requests.arena[attempt.request];
-    if 0 < doubled {
-        let tokens = doubled.min(texts.len()) as u32;
-        charge::duplicate(request.id, tokens, out);
+    if 0 < duplicates {
+        let tokens = duplicates.min(texts.len()) as u32;
+        waste::record_duplicates(request.id, tokens, out);
     }
-    let fresh: Vec<_> = texts.into_iter().skip(doubled).collect();
+    let fresh: Vec<_> = texts.into_iter().skip(duplicates).collect();
     if fresh.is_empty() {
         return;
     }
     let count = fresh.len() as u32;
-    attempt.taken += count;
-    attempt.heard = now.mono;
+    attempt.next_offset += count;
+    attempt.last_progress = now.mono;
     attempt.rereads = 0;
     request.failures = 0;
-    if request.first.is_none() {
-        request.first = Some(now.mono);
-        let ttft = now.mono - request.accepted;
+    if request.first_token_at.is_none() {
+        request.first_token_at = Some(now.mono);
+        let ttft = now.mono - request.accepted_at;
         let progress = Progress::FirstToken { request: request.id, entry: request.entry, ttft };
         out.push(Effect::Progress(progress));
         let entry = state.view.entry(request.entry);
         if let (Some(entry), false) = (entry, attempt.resumed) {
-            let lags = state.health.lags.entry(entry.target).or_default();
-            lags.placed.add(attempt.expected, now.mono - attempt.placed);
-            lags.run.add(attempt.expected, now.mono - attempt.run);
+            let lags = state.health.overruns.entry(entry.target).or_default();
+            lags.decode_granted.add(attempt.expected, now.mono - attempt.decode_granted);
+            lags.prefill_started.add(attempt.expected, now.mono - attempt.prefill_started);
         }
     }
-    request.last = Some(now.mono);
+    request.last_token_at = Some(now.mono);
     let answer = Answer::Tokens { offset: request.delivered, texts: fresh };
     request.delivered += count;
     out.push(Effect::Answer { caller: request.caller, answer });
 }
 
-/// The stream ended by itself: the answer is whole if no token is missing.
-pub fn finished(
+/// Completes the request at the end of its stream, unless tokens are missing.
+pub fn on_finished(
     state: &mut State,
     now: Now,
     key: AttemptKey,
@@ -71,18 +71,18 @@
     if attempt.stage != AttemptStage::Stream {
         return;
     }
-    if attempt.taken < tokens {
-        return missing(state, now, key, out);
+    if attempt.next_offset < tokens {
+        return handle_gap(state, now, key, out);
     }
     let (request, slot) = (attempt.request, attempt.slot);
     if let Some(slot) = slot {
         reserve::release(state, slot, out);
     }
-    whole(state, now, request, reason, out);
+    complete(state, now, request, reason, out);
 }
 
-/// A request's answer is whole.
-pub fn whole(
+/// Completes a request whose tokens have all been delivered.
+pub fn complete(
     state: &mut State,
     now: Now,
     key: crate::ids::RequestKey,
@@ -92,29 +92,30 @@
     let Some(request) = state.requests.remove(key) else { return };
     let answer = Answer::Done {
         reason,
-        prompt: request.prompt,
-        cached: request.cached,
-        generated: request.delivered,
+        prompt_tokens: request.prompt_tokens,
+        cached_tokens: request.cached_tokens,
+        generated_tokens: request.delivered,
     };
     out.push(Effect::Answer { caller: request.caller, answer });
-    settle::end(state, now, &request, Outcome::Done, out);
+    settle::finish_request(state, now, &request, Outcome::Done, out);
 }
 
-/// Tokens are missing before those that came, or before the end.
+/// Handles a gap: tokens are missing before those that were received, or before the end of the
+/// stream.
 ///
-/// Passing on what came would leave a hole in the caller's text that nobody notices, so the stream
-/// is read again from the first token that is missing.
+/// Passing on the received tokens would leave an unnoticed gap in the caller's text, so the stream
+/// is read again from the first missing token.
 ///
-/// Not so right after a pause of this process: more that was sent meanwhile is still to be read,
-/// perhaps that another daemon has taken the stream over. If nothing comes, the silence has it read
-/// again.
-fn missing(state: &mut State, now: Now, key: AttemptKey, out: &mut Vec<Effect>) {
-    if state.members.presence.waiting.is_some() {
+/// This is not done just after a pause of this process. More data that was sent during the pause is
+/// still to be read, and it may say that another daemon has taken the stream over. If no more data
+/// arrives, the stall timeout causes the stream to be read again.
+fn handle_gap(state: &mut State, now: Now, key: AttemptKey, out: &mut Vec<Effect>) {
+    if state.members.own_status.rejoining_since.is_some() {
         return;
     }
-    if state.requests.attempts[key].rereads < resume::REREADS {
-        resume::again(state, now, key, out);
+    if state.requests.attempts[key].rereads < resume::MAX_REREADS {
+        resume::reread_stream(state, now, key, out);
     } else {
-        retry::stream_died(state, now, key, Waste::DecodeFailed, out);
+        retry::on_stream_lost(state, now, key, Waste::DecodeFailed, out);
     }
 }
--- /dev/null
+++ b/crates/basilbank_core/src/reduce/limit/holder.rs
@@ -0,0 +1,153 @@
+//! What an entry's steward is asked and told, and when.
+
+use std::time::Duration;
+
+use basilbank_wire::{AskLimit, Body, Message};
+
+use super::{apply_lease, limits, owner};
+use crate::{
+    catalogue::Limits,
+    effect::Effect,
+    ids::{EntryId, VmId},
+    reason::Refusal,
+    state::{LimitDemand, State, Timer, Usage},
+    time::Now,
+};
+
+/// Time between two looks at what is due.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// A lease is renewed when it has this long to go.
+const RENEWAL_MARGIN: Duration = Duration::from_secs(1);
+/// A daemon without a lease asks again after this.
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// A daemon whose lease is nearly used up asks for more after this.
+const MIN_INTERVAL_FOR_MORE: Duration = Duration::from_millis(100);
+/// One whose lease is a ration asks after this: nobody has more to give.
+const MIN_INTERVAL_FOR_MORE_RATION: Duration = Duration::from_secs(2);
+/// Requests in progress without a lease are told again after this, so that a new steward learns of
+/// them.
+const RUNNING_REPORT_INTERVAL: Duration = Duration::from_secs(10);
+/// A lease is renewed if calls came within this time.
+const RENEWED_IF_USED_WITHIN: Duration = Duration::from_secs(10);
+/// An entry that was not used for this long is forgotten.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Renews leases, tells what is untold, and forgets what is idle.
+pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    state.timers.set(now.mono + TICK_INTERVAL, Timer::Limits);
+    owner::forget_idle(state, now);
+    let entries: Vec<_> = state.limits.usages.keys().copied().collect();
+    for entry in entries {
+        let limits = limits(state, entry);
+        let Some(usage) = state.limits.usages.get_mut(&entry) else { continue };
+        usage.expire_lease(now.mono);
+        let Some(limits) = limits.filter(|l| !usage.is_idle(l, IDLE_TIMEOUT, now.mono)) else {
+            state.limits.usages.remove(&entry);
+            continue;
+        };
+        if is_due(usage, &limits, now) {
+            send_report(state, now, entry, out);
+        }
+    }
+}
+
+/// Asks before a call is taken: for the first lease, when calls begin to come often.
+pub fn request_first_lease(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
+    let Some(usage) = state.limits.usages.get(&entry) else { return };
+    let is_own = state.members.owner(entry.0) == Some(state.local.vm);
+    let is_wanted = usage.lease.is_none() && usage.trusted_until <= now.mono;
+    if is_own && is_wanted && usage.is_frequent(now.mono) {
+        send_report(state, now, entry, out);
+    }
+}
+
+/// Asks for more, unless that was done a moment ago.
+pub fn request_more(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
+    let Some(usage) = state.limits.usages.get(&entry) else { return };
+    let interval =
+        if usage.is_rationed() { MIN_INTERVAL_FOR_MORE_RATION } else { MIN_INTERVAL_FOR_MORE };
+    if usage.is_frequent(now.mono) && has_passed(usage.last_asked, interval, now) {
+        send_report(state, now, entry, out);
+    }
+}
+
+/// Tells the steward of a call that was taken without a lease.
+///
+/// # Errors
+/// This daemon is the steward, and the limit is used up; the call is given back.
+pub fn report_taken(
+    state: &mut State,
+    now: Now,
+    entry: EntryId,
+    out: &mut Vec<Effect>,
+) -> Result<(), Refusal> {
+    let Some(refusal) = send_report(state, now, entry, out) else { return Ok(()) };
+    if let Some(usage) = state.limits.usages.get_mut(&entry) {
+        usage.running -= 1;
+    }
+    Err(refusal)
+}
+
+fn is_due(usage: &Usage, limits: &Limits, now: Now) -> bool {
+    let is_dense = usage.is_frequent(now.mono);
+    if let Some((_, until)) = usage.lease {
+        let is_used = is_dense || now.mono < usage.last_used + RENEWED_IF_USED_WITHIN;
+        return is_used
+            && until <= now.mono + RENEWAL_MARGIN
+            && has_passed(usage.last_asked, MIN_REQUEST_INTERVAL, now);
+    }
+    let is_wanted = is_dense
+        && now.mono < usage.last_used + RENEWAL_MARGIN
+        && has_passed(usage.last_asked, MIN_REQUEST_INTERVAL, now);
+    let is_running = 0 < usage.running && 0 < limits.concurrent;
+    is_wanted
+        || usage.has_unreported(limits)
+        || (is_running && has_passed(usage.last_asked, RUNNING_REPORT_INTERVAL, now))
+}
+
+fn has_passed(last_request: Option<(VmId, Duration)>, interval: Duration, now: Now) -> bool {
+    last_request.is_none_or(|(_, at)| at + interval <= now.mono)
+}
+
+/// Asks and tells; gives the refusal when this daemon is the steward itself.
+fn send_report(
+    state: &mut State,
+    now: Now,
+    entry: EntryId,
+    out: &mut Vec<Effect>,
+) -> Option<Refusal> {
+    let to = state.members.owner(entry.0)?;
+    let usage = state.limits.usages.get_mut(&entry)?;
+    let message = new_report(usage, entry, now);
+    usage.last_asked = Some((to, now.mono));
+    usage.unreported_requests = 0;
+    usage.unreported_tokens = 0;
+    usage.reported_running = usage.running;
+    if to != state.local.vm {
+        let message = Message::from(Body::AskLimit(message));
+        out.push(Effect::Send { to, message });
+        return None;
+    }
+    let lease = owner::answer_report(state, now, to, &message)?;
+    apply_lease(state, now, &lease)
+}
+
+fn new_report(usage: &Usage, entry: EntryId, now: Now) -> AskLimit {
+    let mut ask = AskLimit {
+        entry: entry.0,
+        running: usage.running,
+        taken: usage.unreported_requests,
+        taken_tokens: usage.unreported_tokens,
+        ..AskLimit::default()
+    };
+    if !usage.is_frequent(now.mono) && usage.lease.is_none() {
+        return ask;
+    }
+    let demand: LimitDemand = usage.demand(now.mono);
+    demand.write_to(&mut ask);
+    if let Some((share, _)) = usage.lease {
+        ask.held = (share.requests * 1000.0) as u64;
+        ask.held_tokens = share.tokens as u64;
+    }
+    ask
+}
--- /dev/null
+++ b/crates/basilbank_core/src/reduce/member/gossip.rs
@@ -0,0 +1,238 @@
+//! To whom heartbeats go, and what they carry.
+
+use std::time::Duration;
+
+use basilbank_wire::{Body, Heartbeat, Seen};
+
+use super::summary;
+use crate::{
+    effect::Effect,
+    ids::VmId,
+    state::{Member, Members, State, rank},
+    time::Now,
+};
+
+/// Peers that hear of something new at once.
+const PUSH_FAN_OUT: usize = 3;
+/// Bytes that members' news may take in one heartbeat. With the other fields, the packet's header and
+/// its seal that makes a datagram of less than 1,200 bytes, which passes all paths whole.
+const MAX_MEMBER_BYTES: usize = 1080;
+/// Most bytes of one full record.
+const MAX_RECORD_BYTES: usize = 31;
+/// Silence, as a share of the time after which a member counts as dead, from which heartbeats rather
+/// go to others. In a fleet of 320 one in a thousand is silent for so long by chance.
+const RECENTLY_SEEN_FRACTION: f64 = 0.6;
+/// Random choices until one is fresh.
+const MAX_TARGET_TRIES: usize = 8;
+/// Full records in one heartbeat. More of them would crowd a large fleet's beats out of the datagrams.
+const MAX_RECORDS: usize = 8;
+/// Least time between two questions for all records, which may take ten datagrams to answer.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// One of this many heartbeats goes to a member that is not live, if there is one, so that two sides
+/// of a partition find each other again.
+const DEAD_TARGET_PERIOD: u64 = 8;
+
+/// Sends this round's heartbeats.
+pub fn send_heartbeats(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    state.members.heartbeat_counter += 1;
+    for k in 0..state.local.tuning.fan_out {
+        let Some(to) = select_target(state, now, k) else { return };
+        send(state, now, to, out);
+    }
+}
+
+/// Tells a few live members at once that something is new here.
+pub fn push(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    let mut sent_to = Vec::with_capacity(PUSH_FAN_OUT);
+    for _ in 0..PUSH_FAN_OUT {
+        let Some(to) = pick_live_peer(state, now).or_else(|| pick_dead_peer(state)) else { return };
+        if sent_to.contains(&to) {
+            continue;
+        }
+        sent_to.push(to);
+        send(state, now, to, out);
+    }
+}
+
+/// Answers a daemon that lacks members' records, with all of them.
+pub fn answer_probe(state: &State, now: Now, to: VmId, out: &mut Vec<Effect>) {
+    let own = state.local.vm;
+    let known = state.members.all.iter().filter(|(vm, m)| **vm != own && m.live);
+    let records: Vec<_> = known.filter_map(|(vm, m)| full_record(*vm, m, now)).collect();
+    let reply = Heartbeat { reply: true, ..new_heartbeat(state) };
+    if records.is_empty() {
+        out.push(heartbeat_effect(to, reply.clone()));
+    }
+    for chunk in records.chunks(MAX_MEMBER_BYTES / MAX_RECORD_BYTES) {
+        out.push(heartbeat_effect(to, Heartbeat { seen: chunk.to_vec(), ..reply.clone() }));
+    }
+}
+
+/// Tells a peer that showed older revisions what is known here. A daemon that is not on others' lists
+/// yet gets no heartbeats, and would not hear of a change.
+pub fn reply_if_newer(state: &State, to: VmId, heartbeat: &Heartbeat, out: &mut Vec<Effect>) {
+    let own = new_heartbeat(state);
+    let is_older = heartbeat.documents < own.documents
+        || heartbeat.catalogue < own.catalogue
+        || heartbeat.vms < own.vms;
+    // Two that are each behind in something would answer each other without end.
+    if is_older && !heartbeat.reply {
+        out.push(heartbeat_effect(to, Heartbeat { reply: true, ..own }));
+    }
+}
+
+/// How many heartbeats carry a member's news: by then all but surely all members have it.
+pub fn rumour_rounds(members: &Members) -> u32 {
+    4 + 2 * members.listed().len().ilog2()
+}
+
+/// The peer of this round.
+///
+/// In each round of the wall clock all daemons arrange the live members on a circle by the same
+/// hashes and tell the next one, so that each is told by exactly one other, in an order that is new
+/// each round. Clocks or views that differ make the choice a random one. (With independent random
+/// choices a third of them is told by nobody in a round, and the last one hears of news half as late
+/// again. A shared shift along the sorted list was tried: a run of even shifts leaves the two halves
+/// of a list without news of each other for seconds.)
+fn select_target(state: &mut State, now: Now, k: usize) -> Option<VmId> {
+    if state.rng.next_u64().is_multiple_of(DEAD_TARGET_PERIOD)
+        && let Some(dead_peer) = pick_dead_peer(state)
+    {
+        return Some(dead_peer);
+    }
+    let round =
+        now.unix_ms() / heartbeat_interval_ms(state) * state.local.tuning.fan_out as u64 + k as u64;
+    let own = state.local.vm;
+    let others = state.members.live().iter().copied().filter(|vm| *vm != own);
+    let start = rank(own, round);
+    let Some(to) = others.min_by_key(|vm| rank(*vm, round).wrapping_sub(start)) else {
+        return pick_dead_peer(state);
+    };
+    if is_recently_seen(state, now, to) { Some(to) } else { pick_live_peer(state, now) }
+}
+
+/// A random listed member that is not live.
+fn pick_dead_peer(state: &mut State) -> Option<VmId> {
+    let members = &state.members;
+    let count = members.listed().len().checked_sub(members.live().len()).filter(|c| 0 < *c)?;
+    let index = state.rng.index(count);
+    let mut dead = state.members.all.iter().filter(|(_, m)| !m.live);
+    dead.nth(index).map(|(vm, _)| *vm)
+}
+
+/// A random live member, if possible one that was heard a moment ago: just after a partition most of
+/// the live ones can't be reached, and those that can would hear too little to stay live.
+fn pick_live_peer(state: &mut State, now: Now) -> Option<VmId> {
+    let own = state.local.vm;
+    let live = state.members.live();
+    let others = live.len() - usize::from(live.binary_search(&own).is_ok());
+    if others == 0 {
+        return None;
+    }
+    let mut found = None;
+    for _ in 0..MAX_TARGET_TRIES {
+        let index = state.rng.index(others);
+        found = state.members.live().iter().copied().filter(|vm| *vm != own).nth(index);
+        if found.is_some_and(|vm| is_recently_seen(state, now, vm)) {
+            break;
+        }
+    }
+    found
+}
+
+fn is_recently_seen(state: &State, now: Now, vm: VmId) -> bool {
+    let max_silence = state.local.tuning.dead_after.mul_f64(RECENTLY_SEEN_FRACTION);
+    let member = state.members.all.get(&vm).filter(|m| m.live);
+    let last_seen = member.and_then(|m| m.last_seen);
+    last_seen.is_some_and(|last_seen| now.mono.saturating_sub(last_seen) <= max_silence)
+}
+
+fn send(state: &mut State, now: Now, to: VmId, out: &mut Vec<Effect>) {
+    let mut heartbeat = new_heartbeat(state);
+    let may_probe = state.members.probed_at.is_none_or(|at| at + MIN_PROBE_INTERVAL <= now.mono);
+    if may_probe && needs_all_records(&state.members) {
+        state.members.probed_at = Some(now.mono);
+        heartbeat.probe = true;
+        state.members.all.values_mut().for_each(|m| m.is_mismatched = false);
+    }
+    add_full_records(&mut state.members, now, &mut heartbeat.seen);
+    let summaries = summary::encode(&state.members, now.mono, state.local.tuning.dead_after);
+    let first_bytes = (MAX_MEMBER_BYTES - heartbeat.seen.len() * MAX_RECORD_BYTES)
+        / summary::ENTRY_BYTES
+        * summary::ENTRY_BYTES;
+    let (first, rest) = summaries.split_at(first_bytes.min(summaries.len()));
+    heartbeat.beats = first.to_vec();
+    out.push(heartbeat_effect(to, heartbeat));
+    for chunk in rest.chunks(MAX_MEMBER_BYTES / summary::ENTRY_BYTES * summary::ENTRY_BYTES) {
+        out.push(heartbeat_effect(to, Heartbeat { beats: chunk.to_vec(), ..new_heartbeat(state) }));
+    }
+}
+
+fn new_heartbeat(state: &State) -> Heartbeat {
+    Heartbeat {
+        counter: state.members.heartbeat_counter,
+        catalogue: state.view.catalogue.revision,
+        documents: state.documents.store.revision,
+        vms: state.documents.vms.revision,
+        confirmed: confirmation_age_ms(state),
+        leaving: state.leaving,
+        ..Heartbeat::default()
+    }
+}
+
+fn heartbeat_effect(to: VmId, heartbeat: Heartbeat) -> Effect {
+    Effect::Send { to, message: Body::Heartbeat(heartbeat).into() }
+}
+
+/// Full records of members with news, those told least often first, then of those whose short form
+/// would be ambiguous.
+fn add_full_records(members: &mut Members, now: Now, records: &mut Vec<Seen>) {
+    let own = members.own;
+    let pending = members.all.iter().filter(|(vm, m)| **vm != own && 0 < m.record_sends && m.live);
+    let mut pending: Vec<_> =
+        pending.map(|(vm, m)| (std::cmp::Reverse(m.record_sends), *vm)).collect();
+    pending.sort_unstable();
+    pending.truncate(MAX_RECORDS);
+    for (_, vm) in &pending {
+        let Some(member) = members.all.get_mut(vm) else { continue };
+        member.record_sends -= 1;
+        records.extend(full_record(*vm, member, now));
+    }
+    let ambiguous = members.all.iter().filter(|(vm, m)| {
+        **vm != own && m.live && m.record_sends == 0 && summary::needs_full_record(members, **vm)
+    });
+    records.extend(ambiguous.filter_map(|(vm, m)| full_record(*vm, m, now)).take(MAX_RECORDS));
+}
+
+/// Whether this daemon must ask for all records: it knows of members that it has no record of, it has
+/// just started, or it is not on others' lists yet, so that nobody sends it heartbeats.
+fn needs_all_records(members: &Members) -> bool {
+    if !members.has_heartbeat || !members.is_listed(members.own) {
+        return true;
+    }
+    members.all.values().any(|m| m.is_mismatched || (m.live && m.incarnation == 0))
+        || members.candidates().iter().all(|vm| *vm == members.own)
+}
+
+fn full_record(vm: VmId, member: &Member, now: Now) -> Option<Seen> {
+    let age = now.mono.saturating_sub(member.last_seen?).as_millis();
+    (member.incarnation != 0).then_some(Seen {
+        vm: vm.0,
+        incarnation: member.incarnation,
+        counter: member.heartbeat_counter,
+        leaving: member.announced_leaving,
+        age: u32::try_from(age).unwrap_or(u32::MAX),
+    })
+}
+
+fn heartbeat_interval_ms(state: &State) -> u64 {
+    let length = state.local.tuning.heartbeat.as_millis();
+    u64::try_from(length).unwrap_or(u64::MAX).max(1)
+}
+
+/// Milliseconds since the platform confirmed the documents, 0 when it never did.
+fn confirmation_age_ms(state: &State) -> u32 {
+    let Some(at) = state.documents.confirmed_at else { return 0 };
+    let age = state.members.own_status.last_event.saturating_sub(at).as_millis();
+    u32::try_from(age).unwrap_or(u32::MAX).max(1)
+}
--- a/crates/basilbank_core/src/reduce/place.rs
+++ b/crates/basilbank_core/src/reduce/place.rs
@@ -1,4 +1,4 @@
-//! Where a request runs: from its start to its slots.
+//! Placement of requests: from the start of an attempt to the grant of its slots.
 
 use std::time::Duration;
 
@@ -8,168 +8,190 @@
     ids::{AttemptKey, RequestKey},
     reason::Refusal,
     reduce::{
-        candidates::{self, Want},
+        candidates::{self, Criteria},
         decode, estimate, plain, prefill, reserve,
-        reserve::Terms,
+        reserve::SlotTerms,
         resume, retry,
     },
     state::{AttemptStage, Request, RequestStage, SlotKey, State, Timer},
     time::Now,
 };
 
-/// Endpoints that are asked at once for a slot.
-const FIRST_ASKS: usize = 1;
-/// Further endpoints that are asked when these have not granted it.
-const MORE_ASKS: usize = 1;
-/// After this long.
-const WIDEN: Duration = Duration::from_millis(15);
-/// How long a late draft may hold a decode slot without a prefill slot.
-const LATE_HOLD: Duration = Duration::from_millis(500);
-/// Most endpoints at which one attempt waits.
-const MOST_ASKS: usize = 8;
-/// An endpoint is asked later than the best one by this many times what its prefill takes longer: a
-/// prefix that is computed again takes prefill time from others, and cache from other prompts.
-const DETOUR: u32 = 2;
-/// How long a draft that is late already waits for the best one alone.
-const LATE_DETOUR: Duration = Duration::from_secs(2);
-/// Prefill endpoints that differ by less are asked at the same time.
-const NEARLY: Duration = Duration::from_millis(10);
+/// Number of endpoints that an attempt asks first for a slot.
+const INITIAL_RESERVATIONS: usize = 1;
+/// Number of further endpoints to ask if none of these has granted a slot.
+const ADDED_RESERVATIONS: usize = 1;
+/// Time after which further endpoints are asked.
+const WIDEN_DELAY: Duration = Duration::from_millis(15);
+/// Time for which a late completion may hold a decode slot without a prefill slot.
+const MAX_LATE_HOLD: Duration = Duration::from_millis(500);
+/// Maximum number of endpoints at which an attempt waits at the same time.
+const MAX_RESERVATIONS: usize = 8;
+/// Delay before a prefill endpoint is asked, as a multiple of how much longer its prefill takes
+/// than that at the best endpoint. Computing a cached prefix again at another endpoint takes
+/// prefill time from other requests, and cache space from other prompts.
+const DELAY_FACTOR: u32 = 2;
+/// Maximum time for which a completion that is already late waits for the best endpoint alone.
+const MAX_LATE_DELAY: Duration = Duration::from_secs(2);
+/// Prefill endpoints whose start times differ by less than this are asked at the same time.
+const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(10);
 
-/// Starts a request's next attempt.
-pub fn start(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
+/// Starts the next attempt of a request.
+pub fn start_attempt(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.arena.get(key) else { return };
     if request.stage != RequestStage::Waiting {
         return;
     }
-    if request.draft.as_ref().is_some_and(|d| d.resume.is_some()) && request.attempts == 0 {
+    if request.completion.as_ref().is_some_and(|d| d.resume.is_some()) && request.attempts == 0 {
         return resume::start(state, now, key, out);
     }
-    let attempt = state.requests.begin(key, now.mono);
-    seek(state, now, attempt, FIRST_ASKS, out);
-    state.timers.set(now.mono + WIDEN, Timer::Attempt(attempt));
-    if state.requests.attempts.get(attempt).is_some_and(|a| a.asks.is_empty() && a.slot.is_none()) {
-        retry::no_endpoint(state, now, attempt, out);
+    let attempt = state.requests.begin_attempt(key, now.mono);
+    reserve_slots(state, now, attempt, INITIAL_RESERVATIONS, out);
+    state.timers.set(now.mono + WIDEN_DELAY, Timer::Attempt(attempt));
+    if state
+        .requests
+        .attempts
+        .get(attempt)
+        .is_some_and(|a| a.reservations.is_empty() && a.slot.is_none())
+    {
+        retry::on_no_endpoint(state, now, attempt, out);
     }
 }
 
-/// An attempt has waited for a while: it waits at more endpoints.
-pub fn widen(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// Asks further endpoints after an attempt has waited for a while.
+pub fn widen_search(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
-    if found.asks.len() < MOST_ASKS && found.stage != AttemptStage::Queue {
-        seek(state, now, attempt, MORE_ASKS, out);
+    if found.reservations.len() < MAX_RESERVATIONS && found.stage != AttemptStage::WaitingForPrefill
+    {
+        reserve_slots(state, now, attempt, ADDED_RESERVATIONS, out);
     }
 }
 
-/// Asks up to `more` further endpoints for the slot that an attempt needs next.
-pub fn seek(state: &mut State, now: Now, attempt: AttemptKey, more: usize, out: &mut Vec<Effect>) {
+/// Asks up to `count` further endpoints for the slot that an attempt needs next.
+pub fn reserve_slots(
+    state: &mut State,
+    now: Now,
+    attempt: AttemptKey,
+    count: usize,
+    out: &mut Vec<Effect>,
+) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let request = &state.requests.arena[found.request];
     let Some(entry) = state.view.entry(request.entry) else { return };
     let role = match (entry.target, found.stage) {
         (EntryTarget::Service(_), _) => Role::Plain,
-        (EntryTarget::Model(_), AttemptStage::Queue) => Role::Prefill,
+        (EntryTarget::Model(_), AttemptStage::WaitingForPrefill) => Role::Prefill,
         (EntryTarget::Model(_), _) => Role::Decode,
     };
-    let terms = terms(state, now, attempt, role);
-    let want = Want { target: entry.target, role, attempt, count: more };
-    for (_, endpoint) in candidates::choose(state, now, &want) {
-        reserve::ask(state, now, attempt, endpoint, terms, out);
+    let terms = slot_terms(state, now, attempt, role);
+    let criteria = Criteria { target: entry.target, role, attempt, count };
+    for (_, endpoint) in candidates::choose(state, now, &criteria) {
+        reserve::request_slot(state, now, attempt, endpoint, terms, out);
     }
 }
 
-/// Asks prefill endpoints for a slot: at once the one that promises to be done first, the others
-/// later, by how much later they would be done.
+/// Asks prefill endpoints for a slot: the one that is expected to be done first immediately, and
+/// each of the others later, by a multiple of how much later it would be done.
 ///
-/// The first grant wins. Were all asked at once, an endpoint without the prompt's prefix would often
-/// be a little quicker to grant and much slower to compute.
-pub fn seek_prefill(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// The first grant wins. If all were asked at the same time, an endpoint without the prompt's
+/// prefix would often grant a slot slightly sooner and take much longer to compute.
+pub fn reserve_prefill_slots(
+    state: &mut State,
+    now: Now,
+    attempt: AttemptKey,
+    out: &mut Vec<Effect>,
+) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let request = &state.requests.arena[found.request];
     let (due, entry) = (request.due, request.entry);
     let Some(entry) = state.view.entry(entry) else { return };
-    let want = Want { target: entry.target, role: Role::Prefill, attempt, count: MOST_ASKS };
-    let ranked = candidates::choose(state, now, &want);
-    let terms = terms(state, now, attempt, Role::Prefill);
-    let spare = due.saturating_sub(now.mono + terms.lead);
-    let longest = if spare.is_zero() { LATE_DETOUR } else { spare };
-    let least = ranked.first().map_or(Duration::ZERO, |(cost, _)| *cost);
-    let delay = |cost: Duration| ((cost - least) * DETOUR).min(longest);
+    let criteria =
+        Criteria { target: entry.target, role: Role::Prefill, attempt, count: MAX_RESERVATIONS };
+    let ranked = candidates::choose(state, now, &criteria);
+    let terms = slot_terms(state, now, attempt, Role::Prefill);
+    let slack = due.saturating_sub(now.mono + terms.lead);
+    let max_delay = if slack.is_zero() { MAX_LATE_DELAY } else { slack };
+    let min_cost = ranked.first().map_or(Duration::ZERO, |(cost, _)| *cost);
+    let delay = |cost: Duration| ((cost - min_cost) * DELAY_FACTOR).min(max_delay);
     let plan = ranked.iter().map(|(cost, endpoint)| (now.mono + delay(*cost), *endpoint));
     let plan = plan.rev().collect();
-    state.requests.attempts[attempt].plan = plan;
-    ask_planned(state, now, attempt, out);
+    state.requests.attempts[attempt].prefill_plan = plan;
+    reserve_due(state, now, attempt, out);
 }
 
-/// All that were asked have denied: asks the next one, unless so many have denied already.
-pub fn ask_others(
+/// Asks the next endpoint after all endpoints that were asked have denied a slot, unless
+/// `max_denials` of them have denied one.
+pub fn reserve_next(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
-    most: usize,
+    max_denials: usize,
     out: &mut Vec<Effect>,
 ) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    if let Some(next) = found.plan.last_mut() {
+    if let Some(next) = found.prefill_plan.last_mut() {
         next.0 = now.mono;
-        ask_planned(state, now, attempt, out);
-    } else if found.stage != AttemptStage::Queue && found.denied.len() < most {
-        seek(state, now, attempt, FIRST_ASKS, out);
+        reserve_due(state, now, attempt, out);
+    } else if found.stage != AttemptStage::WaitingForPrefill && found.denied.len() < max_denials {
+        reserve_slots(state, now, attempt, INITIAL_RESERVATIONS, out);
     }
 }
 
-/// Asks the endpoints whose time has come.
-pub fn ask_planned(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let terms = terms(state, now, attempt, Role::Prefill);
+/// Asks the planned prefill endpoints whose time has come.
+pub fn reserve_due(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+    let terms = slot_terms(state, now, attempt, Role::Prefill);
     loop {
         let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-        let Some((at, endpoint)) = found.plan.last().copied() else { return };
-        if now.mono + NEARLY < at {
+        let Some((at, endpoint)) = found.prefill_plan.last().copied() else { return };
+        if now.mono + SIMULTANEOUS_WINDOW < at {
             return state.timers.set(at, Timer::Attempt(attempt));
         }
-        found.plan.pop();
-        reserve::ask(state, now, attempt, endpoint, terms, out);
+        found.prefill_plan.pop();
+        reserve::request_slot(state, now, attempt, endpoint, terms, out);
     }
 }
 
-fn terms(state: &State, now: Now, attempt: AttemptKey, role: Role) -> Terms {
+fn slot_terms(state: &State, now: Now, attempt: AttemptKey, role: Role) -> SlotTerms {
     let found = &state.requests.attempts[attempt];
     let request = &state.requests.arena[found.request];
-    let prefill = estimate::prefill(state, request);
-    let transfer = estimate::transfer(state, request);
+    let prefill = estimate::prefill_time(state, request);
+    let transfer = estimate::transfer_time(state, request);
     let lags = estimate::lags(state, request.entry);
-    let (lead, until) = match (role, found.stage) {
-        (Role::Decode, AttemptStage::Move) => {
-            let last = found.cache.as_ref().map_or(now.mono, |c| c.until);
+    let (lead, deadline) = match (role, found.stage) {
+        (Role::Decode, AttemptStage::Relocating) => {
+            let last = found.kv_cache.as_ref().map_or(now.mono, |c| c.evicted_at);
             (Duration::ZERO, last.saturating_sub(transfer))
         }
-        (Role::Decode, _) => (prefill + transfer + lags.placed.margin(), request.until),
+        (Role::Decode, _) => {
+            (prefill + transfer + lags.decode_granted.margin(), request.wait_deadline)
+        }
         (Role::Prefill, _) => {
-            let lead = prefill + transfer + lags.run.margin();
-            (lead, give_way(now, request, lead))
+            let lead = prefill + transfer + lags.prefill_started.margin();
+            (lead, decode_hold_deadline(now, request, lead))
         }
         (Role::Plain, _) => {
-            let lead = lags.run.margin();
-            (lead, request.until.saturating_sub(lead))
+            let lead = lags.prefill_started.margin();
+            (lead, request.wait_deadline.saturating_sub(lead))
         }
     };
-    let sent = if role == Role::Prefill { request.prompt_tokens() } else { 0 };
-    let tokens =
-        request.prompt_tokens() + if role == Role::Prefill { 0 } else { request.remaining() };
-    Terms { tokens, sent, lead, until }
+    let transfer_tokens = if role == Role::Prefill { request.prefill_tokens() } else { 0 };
+    let tokens = request.prefill_tokens()
+        + if role == Role::Prefill { 0 } else { request.remaining_tokens() };
+    SlotTerms { tokens, transfer_tokens, lead, deadline }
 }
 
-/// How long a draft that holds a decode slot may wait for a prefill slot.
+/// Returns until when a completion that holds a decode slot may wait for a prefill slot.
 ///
-/// Where prefill is scarce, drafts that are late already would wait there with all decode slots in
-/// their hands, and those that could still be in time would not even get to the queue. So a draft
-/// that has become late gives its decode slot back and waits behind the others.
-fn give_way(now: Now, request: &Request, lead: Duration) -> Duration {
-    let latest = request.due.saturating_sub(lead).max(now.mono + LATE_HOLD);
-    latest.min(request.until)
+/// If prefill is scarce, late completions would otherwise hold all decode slots while they wait for
+/// it, and completions that could still meet their target would not even reach the prefill queue. A
+/// completion that has become late therefore releases its decode slot and waits behind the others.
+fn decode_hold_deadline(now: Now, request: &Request, lead: Duration) -> Duration {
+    let latest = request.due.saturating_sub(lead).max(now.mono + MAX_LATE_HOLD);
+    latest.min(request.wait_deadline)
 }
 
-/// A slot was granted to an attempt.
-pub fn granted(
+/// Continues an attempt to which a slot was granted.
+pub fn on_granted(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
@@ -178,15 +200,15 @@
 ) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let stage = found.stage;
-    let (request, since) = (found.request, found.since);
-    let is_draft = state.requests.arena[request].draft.is_some();
+    let (request, since) = (found.request, found.stage_since);
+    let is_completion = state.requests.arena[request].completion.is_some();
     let role = match stage {
-        AttemptStage::Queue => "prefill",
-        _ if is_draft => "decode",
+        AttemptStage::WaitingForPrefill => "prefill",
+        _ if is_completion => "decode",
         _ => "plain",
     };
     match stage {
-        AttemptStage::Queue => found.prefill = Some(slot),
+        AttemptStage::WaitingForPrefill => found.prefill_slot = Some(slot),
         _ => found.slot = Some(slot),
     }
     let id = state.requests.arena[request].id;
@@ -198,17 +220,19 @@
         waited,
     }));
     match stage {
-        AttemptStage::Queue => prefill::run(state, now, attempt, out),
-        AttemptStage::Move => decode::import(state, now, attempt, out),
-        AttemptStage::Slot if is_draft => prefill::seek(state, now, attempt, out),
-        AttemptStage::Slot => plain::run(state, now, attempt, out),
+        AttemptStage::WaitingForPrefill => prefill::start(state, now, attempt, out),
+        AttemptStage::Relocating => decode::start_import(state, now, attempt, out),
+        AttemptStage::WaitingForSlot if is_completion => {
+            prefill::reserve_slot(state, now, attempt, out);
+        }
+        AttemptStage::WaitingForSlot => plain::send_call(state, now, attempt, out),
         _ => reserve::release(state, slot, out),
     }
 }
 
-/// How a request that no endpoint can take is refused.
+/// Returns the reason for which a request that no endpoint can take is refused.
 #[must_use]
-pub fn refusal_of(state: &State, key: RequestKey) -> Refusal {
+pub fn refusal_reason(state: &State, key: RequestKey) -> Refusal {
     let Some(request) = state.requests.arena.get(key) else { return Refusal::NoEndpoint };
-    if request.due < request.until { Refusal::WaitedOut } else { Refusal::TargetMissed }
+    if request.due < request.wait_deadline { Refusal::WaitTimedOut } else { Refusal::TargetMissed }
 }
--- a/crates/basilbank_core/src/reduce/plain.rs
+++ b/crates/basilbank_core/src/reduce/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Calls to plain HTTP services.
 
 use std::time::Duration;
 
@@ -11,20 +11,21 @@
     time::Now,
 };
 
-/// Time limit of a call.
+/// Time limit of a call to a plain service.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// The shell's own time limit goes first; this much later the core stops waiting for it.
-const MARGIN: Duration = Duration::from_secs(1);
+/// How much later than the shell's time limit the core stops waiting, so that the shell reports a
+/// timeout first.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The slot is there: call.
-pub fn run(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// Calls the service at the endpoint that granted a slot.
+pub fn send_call(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let Some(slot) = found.slot else { return };
-    found.enter(AttemptStage::Plain, now.mono);
+    found.enter_stage(AttemptStage::Plain, now.mono);
     let key = found.request;
     state.requests.set_served(key);
     let request = &state.requests.arena[key];
-    state.timers.set(now.mono + CALL_TIMEOUT + MARGIN, Timer::Attempt(attempt));
+    state.timers.set(now.mono + CALL_TIMEOUT + TIMEOUT_MARGIN, Timer::Attempt(attempt));
     out.push(Effect::Engine(EngineCall::Plain {
         attempt,
         caller: request.caller,
@@ -34,22 +35,28 @@
     }));
 }
 
-/// A plain service answered.
-pub fn answered(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// Passes the answer of a plain service on and ends the request.
+pub fn on_answered(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (key, slot) = (found.request, found.slot);
-    let took = now.mono - found.since;
+    let took = now.mono - found.stage_since;
     if let Some(entry) = state.view.entry(state.requests.arena[key].entry) {
-        state.health.lags.entry(entry.target).or_default().run.add(Duration::ZERO, took);
+        state
+            .health
+            .overruns
+            .entry(entry.target)
+            .or_default()
+            .prefill_started
+            .add(Duration::ZERO, took);
     }
     if let Some(slot) = slot {
-        state.health.entry(slot.endpoint).failures = 0;
+        state.health.endpoint_mut(slot.endpoint).failures = 0;
         reserve::release(state, slot, out);
     }
     let Some(request) = state.requests.remove(key) else { return };
     out.push(Effect::Answer { caller: request.caller, answer: Answer::Plain { attempt } });
-    let ttft = now.mono - request.accepted;
+    let ttft = now.mono - request.accepted_at;
     let progress = Progress::FirstToken { request: request.id, entry: request.entry, ttft };
     out.push(Effect::Progress(progress));
-    settle::end(state, now, &request, Outcome::Done, out);
+    settle::finish_request(state, now, &request, Outcome::Done, out);
 }
--- a/crates/basilbank_core/src/reduce/prefill.rs
+++ b/crates/basilbank_core/src/reduce/prefill.rs
@@ -1,136 +1,141 @@
-//! A draft's prefill.
+//! Prefill of completions.
 
 use std::time::Duration;
 
 use crate::{
-    effect::{DraftCall, Effect, EngineCall},
+    effect::{CompletionCall, Effect, EngineCall},
     ids::{AttemptKey, EndpointId},
     reduce::{decode, estimate, place, retry},
     state::{AttemptStage, KvCache, State, Timer},
     time::Now,
 };
 
-/// A prefill that takes this many times its estimate counts as broken.
-const PATIENCE: u32 = 3;
-/// And this much longer.
-const MARGIN: Duration = Duration::from_secs(2);
+/// A prefill that takes longer than this multiple of its estimate, plus `TIMEOUT_MARGIN`, counts as
+/// failed.
+const TIMEOUT_FACTOR: u32 = 3;
+/// Constant part of a prefill's timeout.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a prefill endpoint reported at its end.
+/// Result of a prefill, as the endpoint reports it.
 #[derive(Clone, Debug)]
-pub struct Prefilled {
-    /// The KV cache's name.
+pub struct PrefillResult {
+    /// Handle of the KV cache at the endpoint.
     pub handle: String,
-    /// Prompt tokens.
-    pub tokens: u32,
-    /// Prompt tokens that came from the prefix cache.
-    pub cached: u32,
-    /// Size of the KV cache.
+    /// Number of prompt tokens.
+    pub prompt_tokens: u32,
+    /// Number of prompt tokens that came from the prefix cache.
+    pub cached_tokens: u32,
+    /// Size of the KV cache in bytes.
     pub bytes: u64,
-    /// Time spent.
-    pub spent: Duration,
+    /// Time that the endpoint spent on the prefill.
+    pub prefill_time: Duration,
 }
 
-/// The decode slot is there: look for a prefill slot.
-pub fn seek(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// Looks for a prefill slot for an attempt that has its decode slot.
+pub fn reserve_slot(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.enter(AttemptStage::Queue, now.mono);
-    found.placed = now.mono;
-    place::seek_prefill(state, now, attempt, out);
-    if state.requests.attempts.get(attempt).is_some_and(|a| a.asks.is_empty()) {
-        retry::no_endpoint(state, now, attempt, out);
+    found.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
+    found.decode_granted = now.mono;
+    place::reserve_prefill_slots(state, now, attempt, out);
+    if state.requests.attempts.get(attempt).is_some_and(|a| a.reservations.is_empty()) {
+        retry::on_no_endpoint(state, now, attempt, out);
     }
 }
 
-/// The prefill slot is there too: run it.
+/// Runs the prefill of an attempt that has both slots.
 ///
-/// It may have been long in coming. A decode endpoint that has begun to leave meanwhile must get no
-/// new work, so the request looks for other slots while nothing is spent on it.
-pub fn run(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// The wait for the prefill slot may have been long. If the decode endpoint has begun to leave in
+/// the meantime, it must not get new work, so the request looks for other slots before any work is
+/// spent on it.
+pub fn start(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let Some(slot) = found.prefill else { return };
+    let Some(slot) = found.prefill_slot else { return };
     if found.slot.is_some_and(|decode| state.is_leaving(decode.endpoint)) {
-        return retry::anew(state, now, attempt, out);
+        return retry::restart_attempt(state, now, attempt, out);
     }
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.enter(AttemptStage::Prefill, now.mono);
-    found.run = now.mono;
+    found.enter_stage(AttemptStage::Prefill, now.mono);
+    found.prefill_started = now.mono;
     let request = found.request;
     let expected = state
         .requests
         .arena
         .get(request)
-        .map(|r| estimate::prefill(state, r) + estimate::transfer(state, r));
+        .map(|r| estimate::prefill_time(state, r) + estimate::transfer_time(state, r));
     state.requests.attempts[attempt].expected = expected.unwrap_or_default();
     state.requests.set_served(request);
     let timeout = timeout(state, attempt);
     state.timers.set(now.mono + timeout, Timer::Attempt(attempt));
-    let call = call(state, attempt, slot.endpoint, timeout);
+    let call = completion_call(state, attempt, slot.endpoint, timeout);
     out.push(Effect::Engine(EngineCall::Prefill(call)));
 }
 
-/// How long a prefill may take.
+/// Returns the time limit of an attempt's prefill.
 #[must_use]
 pub fn timeout(state: &State, attempt: AttemptKey) -> Duration {
     let request = state.requests.attempts.get(attempt).map(|a| a.request);
     let request = request.and_then(|r| state.requests.arena.get(r));
-    request.map_or(MARGIN, |r| estimate::prefill(state, r) * PATIENCE + MARGIN)
+    request.map_or(TIMEOUT_MARGIN, |r| {
+        estimate::prefill_time(state, r) * TIMEOUT_FACTOR + TIMEOUT_MARGIN
+    })
 }
 
-/// What an endpoint needs to know of an attempt.
+/// Returns the call of an attempt to a prefill or decode endpoint.
 ///
 /// # Panics
-/// When the attempt's key is dead.
+/// Panics if the attempt's key is no longer valid.
 #[must_use]
-pub fn call(
+pub fn completion_call(
     state: &State,
     attempt: AttemptKey,
     endpoint: EndpointId,
     timeout: Duration,
-) -> DraftCall {
+) -> CompletionCall {
     let found = &state.requests.attempts[attempt];
     let request = &state.requests.arena[found.request];
     let class = state.view.entry(request.entry).and_then(|e| state.view.class(e.class));
-    DraftCall {
+    CompletionCall {
         attempt,
         caller: request.caller,
         request: request.id,
-        number: found.number,
+        attempt_number: found.number,
         endpoint,
         delivered: request.delivered,
-        remaining: request.remaining(),
+        remaining: request.remaining_tokens(),
         priority: class.map_or(0, |c| c.priority),
         timeout,
     }
 }
 
-/// The prefill is done: its KV cache goes to the decode endpoint.
-pub fn done(
+/// Handles the end of a prefill: starts the import of its KV cache at the decode endpoint.
+pub fn on_prefilled(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
-    done: Prefilled,
+    result: PrefillResult,
     out: &mut Vec<Effect>,
 ) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     if found.stage != AttemptStage::Prefill {
         return;
     }
-    let Some(slot) = found.prefill else { return };
+    let Some(slot) = found.prefill_slot else { return };
     let until = now.mono + state.local.tuning.kv_life;
     let endpoint = slot.endpoint;
-    found.cache = Some(KvCache { endpoint, handle: done.handle, bytes: done.bytes, until });
-    found.spent = done.spent;
+    found.kv_cache =
+        Some(KvCache { endpoint, handle: result.handle, bytes: result.bytes, evicted_at: until });
+    found.prefill_time = result.prefill_time;
     let request = &mut state.requests.arena[found.request];
-    request.risked = true;
+    request.may_have_run = true;
     if request.delivered == 0 {
-        request.prompt = done.tokens;
-        request.cached = done.cached;
+        request.prompt_tokens = result.prompt_tokens;
+        request.cached_tokens = result.cached_tokens;
     }
-    if let Some(draft) = &request.draft {
-        for block in draft.blocks.iter() {
+    if let Some(completion) = &request.completion {
+        for block in completion.block_hashes.iter() {
             state.health.prefixes.add(*block, endpoint);
         }
     }
-    state.health.entry(endpoint).failures = 0;
-    decode::import(state, now, attempt, out);
+    state.health.endpoint_mut(endpoint).failures = 0;
+    decode::start_import(state, now, attempt, out);
 }
--- a/crates/basilbank_core/src/reduce/queue.rs
+++ b/crates/basilbank_core/src/reduce/queue.rs
@@ -1,83 +1,85 @@
 //! The order in which reservations that wait at one endpoint are served.
 //!
-//! First come entries that hold less than they are owed. What is left is lent: to requests whose
-//! target can still be met before others, and among these to the entry that holds the least of its
-//! share.
+//! Entries that hold less than the share they are owed come first. The remaining slots are lent:
+//! first to requests that can still meet their target, and among these to the entry that holds the
+//! least relative to its share.
 
 use std::time::Duration;
 
 use crate::{
     ids::{EntryId, VmId},
-    state::{Group, Lease, Ledger, SlotKey, View, Waiter, Waiting},
+    state::{Group, Ledger, SlotKey, SlotLease, View, WaitQueue, Waiter},
     time::Now,
 };
 
-/// The weight of an entry that is owed nothing.
-const LEAST_SHARE: f64 = 0.02;
+/// Minimum share by which an entry is weighted, including an entry that is owed nothing.
+const MIN_SHARE: f64 = 0.02;
 
-/// A slot is taken back for a reservation that has waited for this part of the time it has.
-const PATIENCE: u32 = 4;
-/// In so many times the time between two ends of leases one has most likely ended.
-const LIKELY: u32 = 2;
-/// A holder that has not given a slot back for this long can't: another one is asked.
-const GIVE_BACK: Duration = Duration::from_secs(1);
+/// A reservation becomes urgent, so that a slot is taken back for it, after it has waited for this
+/// fraction of its time: 1 / `URGENT_WAIT_DIVISOR`.
+const URGENT_WAIT_DIVISOR: u32 = 4;
+/// Number of mean intervals between the ends of leases within which a lease very likely ends.
+const LIKELY_FREE_FACTOR: u32 = 2;
+/// Time after which a holder that has not returned a preempted slot is assumed to be unable to, and
+/// another holder is asked.
+const PREEMPTION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The reservation to serve next.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Choice {
-    /// Its slot's name.
+    /// Key of the slot.
     pub key: SlotKey,
-    /// Its entry holds its owed share already.
+    /// Whether its entry already holds the share that it is owed, so that the slot is lent.
     pub lent: bool,
-    /// The group that it is in.
+    /// Group that the reservation is in.
     pub group: Group,
 }
 
-/// What a reservation is ordered by: less is served first.
+/// Sort key of reservations; lower ranks are served first.
 #[derive(Clone, Copy, PartialEq, PartialOrd, Debug)]
 struct Rank {
     lent: bool,
     group: Group,
-    /// How many times its share its entry holds; 0 below the owed share.
-    level: f64,
-    /// When it is due, or when it came if it is late.
+    /// Used slots relative to the weight of the entry; 0 if the entry holds less than it is owed.
+    usage_ratio: f64,
+    /// Time at which it is due, or at which it arrived if it is late.
     at: Duration,
 }
 
-/// What an entry may have of an endpoint, and has.
+/// Share of an endpoint's slots that an entry is owed, and how much of it is used.
 #[derive(Clone, Copy, PartialEq, Debug)]
-struct Share {
-    /// Slots that it is owed.
+struct FairShare {
+    /// Number of slots that the entry is owed.
     owed: f64,
-    /// Slots by which entries are compared.
+    /// Number of slots by which the entry is weighted against others.
     weight: f64,
-    /// Slots that it holds.
+    /// Number of slots that the entry holds.
     used: f64,
 }
 
-impl Share {
-    fn of(ledger: &Ledger, view: &View, entry: EntryId) -> Share {
+impl FairShare {
+    fn of(ledger: &Ledger, view: &View, entry: EntryId) -> FairShare {
         let share = view.entry(entry).map_or(0.0, |e| e.limits.owed);
         let slots = f64::from(ledger.slots);
-        let weight = share.max(LEAST_SHARE) * slots;
-        Share { owed: share * slots, weight, used: f64::from(ledger.used_by(entry)) }
+        let weight = share.max(MIN_SHARE) * slots;
+        FairShare { owed: share * slots, weight, used: f64::from(ledger.slots_used_by(entry)) }
     }
 }
 
-/// The reservation that gets the next free slot.
+/// Returns the reservation that gets the next free slot.
 #[must_use]
-pub fn next(ledger: &mut Ledger, view: &View, now: Now) -> Option<Choice> {
-    if ledger.waiting.is_empty() || ledger.free() == 0 || now.mono < ledger.ready_at() {
+pub fn next_reservation(ledger: &mut Ledger, view: &View, now: Now) -> Option<Choice> {
+    if ledger.waiting.is_empty() || ledger.free_slots() == 0 || now.mono < ledger.ready_at() {
         return None;
     }
-    ledger.waiting.note_late(now.mono);
+    ledger.waiting.demote_late(now.mono);
     let mut best: Option<(Rank, SlotKey)> = None;
-    for (entry, line) in ledger.waiting.lines() {
-        let Some((group, at, waiter)) = line.first() else { continue };
-        let share = Share::of(ledger, view, entry);
+    for (entry, queue) in ledger.waiting.queues() {
+        let Some((group, at, waiter)) = queue.first() else { continue };
+        let share = FairShare::of(ledger, view, entry);
         let lent = share.owed <= share.used;
-        let level = if lent { share.used / share.weight } else { 0.0 };
-        let rank = Rank { lent, group, level, at };
+        let usage_ratio = if lent { share.used / share.weight } else { 0.0 };
+        let rank = Rank { lent, group, usage_ratio, at };
         if best.is_none_or(|(other, _)| rank < other) {
             best = Some((rank, waiter.key));
         }
@@ -85,115 +87,122 @@
     best.map(|(rank, key)| Choice { key, lent: rank.lent, group: rank.group })
 }
 
-/// How long a reservation will wait, as far as can be told.
+/// Estimates how long a reservation will wait; `None` if there is too little information.
 #[must_use]
-pub fn expected(ledger: &Ledger, view: &View, key: SlotKey, now: Now) -> Option<Duration> {
+pub fn estimate_wait(ledger: &Ledger, view: &View, key: SlotKey, now: Now) -> Option<Duration> {
     let waiter = ledger.waiting.get(key)?;
-    let (group, ahead) = ledger.waiting.place(key)?;
-    let before = before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
-    let wait = ledger.pace? * (1 + before);
-    let drought = ledger.drought(now.mono);
+    let (group, ahead) = ledger.waiting.position(key)?;
+    let before = count_served_before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
+    let wait = ledger.slot_interval? * (1 + before);
+    let drought = ledger.late_wait(now.mono);
     Some(if group == Group::Late { wait.max(drought) } else { wait })
 }
 
-/// Takes out those that can't be served in the time they have, and tells how long a new one would
-/// wait behind all others.
+/// Removes the reservations that can't be served before their deadlines. Also returns how long a
+/// new reservation would wait behind all others.
 #[must_use]
-pub fn take_hopeless(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
-    let Some(pace) = ledger.pace else { return Default::default() };
+pub fn remove_infeasible(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
+    let Some(pace) = ledger.slot_interval else { return Default::default() };
     let mut waiting = std::mem::take(&mut ledger.waiting);
-    if waiting.lines().any(|(_, line)| line.has(Group::Late)) {
-        ledger.note_late(now.mono);
+    if waiting.queues().any(|(_, queue)| queue.has_group(Group::Late)) {
+        ledger.record_late_wait(now.mono);
     }
-    // Those in time go before those that are late and come all the time, so how many there are now
-    // says little about when a late one is served. How long none has been says more.
-    let drought = ledger.drought(now.mono);
-    let hopeless = waiting.take(|waiting, waiter, group, ahead| {
-        let before = before(ledger, waiting, view, waiter.entry, group, ahead);
+    // Reservations that are in time are served before late ones and keep arriving, so their current
+    // number says little about when a late one is served. The time since a late one was last served
+    // says more.
+    let drought = ledger.late_wait(now.mono);
+    let infeasible = waiting.remove_matching(|waiting, waiter, group, ahead| {
+        let before = count_served_before(ledger, waiting, view, waiter.entry, group, ahead);
         let wait = pace * (1 + before);
         let wait = if group == Group::Late { wait.max(drought) } else { wait };
-        waiter.until < now.mono + wait
+        waiter.deadline < now.mono + wait
     });
     ledger.waiting = waiting;
-    (hopeless, ledger.behind(now.mono))
+    (infeasible, ledger.expected_wait(now.mono))
 }
 
-/// Leases to be taken back, with their holders.
+/// Returns the leases to take back, with their holders.
 ///
-/// Slots come free all the time, and an entry below its owed share gets the next one. Only where that
-/// takes too long, because others hold them for long answers, they are taken back: from the entry that
-/// holds most of its share, and from those that were granted last, which have lost least.
+/// Slots become free all the time, and an entry below its owed share gets the next one. Slots are
+/// taken back only if that takes too long because others hold them for long answers. They are taken
+/// from the entry that holds the most relative to its share, and from its most recent leases, which
+/// lose the least work.
 #[must_use]
-pub fn take_back(ledger: &mut Ledger, view: &View, now: Now) -> Vec<(SlotKey, VmId)> {
-    if !ledger.resumable || 0 < ledger.free() {
+pub fn select_preemptions(ledger: &mut Ledger, view: &View, now: Now) -> Vec<(SlotKey, VmId)> {
+    if !ledger.resumable || 0 < ledger.free_slots() {
         return Vec::new();
     }
-    let soon = now.mono + ledger.interval(now.mono) * LIKELY;
+    let soon = now.mono + ledger.lease_end_interval(now.mono) * LIKELY_FREE_FACTOR;
     let urgent: usize = ledger
         .waiting
-        .lines()
-        .map(|(e, line)| {
-            let share = Share::of(ledger, view, e);
-            let room = (share.owed - share.used).max(0.0) as usize;
-            line.iter().take(room).filter(|(group, w)| is_urgent(*group, w, now, soon)).count()
+        .queues()
+        .map(|(e, queue)| {
+            let share = FairShare::of(ledger, view, e);
+            let unused = (share.owed - share.used).max(0.0) as usize;
+            queue.iter().take(unused).filter(|(group, w)| is_urgent(*group, w, now, soon)).count()
         })
         .sum();
-    let asked = |lease: &Lease| lease.preempted.is_some_and(|at| now.mono < at + GIVE_BACK);
-    let coming = ledger.leases.values().filter(|lease| asked(lease)).count();
-    let mut taken = Vec::new();
-    for _ in coming..urgent {
-        let Some(key) = victim(ledger, view) else { break };
+    let is_pending =
+        |lease: &SlotLease| lease.preempted_at.is_some_and(|at| now.mono < at + PREEMPTION_TIMEOUT);
+    let pending = ledger.leases.values().filter(|lease| is_pending(lease)).count();
+    let mut preempted = Vec::new();
+    for _ in pending..urgent {
+        let Some(key) = select_victim(ledger, view) else { break };
         let Some(lease) = ledger.leases.get_mut(&key) else { break };
-        lease.preempted = Some(now.mono);
-        taken.push((key, lease.vm));
+        lease.preempted_at = Some(now.mono);
+        preempted.push((key, lease.vm));
     }
-    taken
+    preempted
 }
 
-/// Whether a slot is taken back for a reservation: it has used up much of its time, and is due before
-/// one will have come free by itself.
+/// Returns whether a slot is taken back for a reservation: it has used up much of its time, and it
+/// is due before a slot is likely to become free.
 fn is_urgent(group: Group, waiter: &Waiter, now: Now, soon: Duration) -> bool {
-    let patience = waiter.due.saturating_sub(waiter.since) / PATIENCE;
-    let has_waited = waiter.since + patience <= now.mono;
-    group != Group::Late && waiter.first && has_waited && waiter.due < soon
+    let min_wait = waiter.due.saturating_sub(waiter.arrived_at) / URGENT_WAIT_DIVISOR;
+    let has_waited = waiter.arrived_at + min_wait <= now.mono;
+    group != Group::Late && waiter.can_preempt && has_waited && waiter.due < soon
 }
 
-fn victim(ledger: &Ledger, view: &View) -> Option<SlotKey> {
-    let over = |entry: EntryId| {
-        let share = Share::of(ledger, view, entry);
-        let asked = ledger.leases.values().filter(|l| l.entry == entry && l.preempted.is_some());
-        let used = share.used - asked.count() as f64;
+fn select_victim(ledger: &Ledger, view: &View) -> Option<SlotKey> {
+    let over_share = |entry: EntryId| {
+        let share = FairShare::of(ledger, view, entry);
+        let preempted =
+            ledger.leases.values().filter(|l| l.entry == entry && l.preempted_at.is_some());
+        let used = share.used - preempted.count() as f64;
         (share.owed + 1.0 <= used).then_some(used / share.weight)
     };
-    let most = ledger.used.keys().filter_map(|entry| Some((over(*entry)?, *entry)));
-    let (_, entry) = most.max_by(|a, b| a.partial_cmp(b).expect("no NaN"))?;
-    let of_entry = ledger.leases.iter().filter(|(_, l)| l.entry == entry && l.preempted.is_none());
-    of_entry.max_by_key(|(key, l)| (l.since, **key)).map(|(key, _)| *key)
+    let candidates =
+        ledger.used_slots.keys().filter_map(|entry| Some((over_share(*entry)?, *entry)));
+    let (_, entry) = candidates.max_by(|a, b| a.partial_cmp(b).expect("no NaN"))?;
+    let of_entry =
+        ledger.leases.iter().filter(|(_, l)| l.entry == entry && l.preempted_at.is_none());
+    of_entry.max_by_key(|(key, l)| (l.granted_at, **key)).map(|(key, _)| *key)
 }
 
-/// How many reservations are served before one that has `ahead` of its own entry before it.
+/// Returns the number of reservations that are served before one that has `ahead` reservations of
+/// its own entry before it.
 ///
-/// Entries take turns by what they hold of their shares, so of each other entry only as many count as
-/// bring it to the same level.
-fn before(
+/// Entries take turns according to the slots they hold relative to their shares. Of each other
+/// entry, only as many reservations count as bring it to the same ratio.
+fn count_served_before(
     ledger: &Ledger,
-    waiting: &Waiting,
+    waiting: &WaitQueue,
     view: &View,
     entry: EntryId,
     group: Group,
     ahead: usize,
 ) -> u32 {
-    let share = Share::of(ledger, view, entry);
+    let share = FairShare::of(ledger, view, entry);
     let used = share.used + ahead as f64;
     if used < share.owed {
         return ahead as u32;
     }
-    let level = used / share.weight;
-    let others = waiting.lines().filter(|(other, _)| *other != entry);
-    let turns = others.map(|(other, line)| {
-        let share = Share::of(ledger, view, other);
-        let turns = (level * share.weight - share.used).ceil().max(0.0);
-        turns.min(line.up_to(group) as f64)
+    let usage_ratio = used / share.weight;
+    let others = waiting.queues().filter(|(other, _)| *other != entry);
+    let turns = others.map(|(other, queue)| {
+        let share = FairShare::of(ledger, view, other);
+        let turns = (usage_ratio * share.weight - share.used).ceil().max(0.0);
+        turns.min(queue.count_up_to(group) as f64)
     });
     ahead as u32 + turns.sum::<f64>() as u32
 }
--- a/crates/basilbank_core/src/reduce/reserve.rs
+++ b/crates/basilbank_core/src/reduce/reserve.rs
@@ -1,4 +1,4 @@
-//! The holder's side of slots: asking for them, renewing them, giving them back.
+//! The holder's side of slots: requesting, renewing and releasing them.
 
 use std::time::Duration;
 
@@ -13,74 +13,75 @@
     time::Now,
 };
 
-/// Stewards without a slot in time after which no other is asked: the rest is as full.
-const FULL_DENIALS: usize = 2;
-/// A waiting reservation is sent again after this, in case it or its grant was lost.
-const RESEND: Duration = Duration::from_millis(200);
+/// Number of owners that may report no slot in time before no other owner is asked: the remaining
+/// endpoints are assumed to be as full.
+const MAX_FULL_DENIALS: usize = 2;
+/// Initial interval at which a waiting reservation is sent again, in case it or its grant was lost.
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a slot is wanted for.
+/// What a slot is requested for.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// Tokens expected to be held or prefilled.
+pub struct SlotTerms {
+    /// Number of tokens that are expected to be held or prefilled.
     pub tokens: u32,
-    /// Tokens whose KV cache leaves the endpoint afterwards.
-    pub sent: u32,
-    /// From the grant until its use.
+    /// Number of tokens whose KV cache is sent from the endpoint afterwards.
+    pub transfer_tokens: u32,
+    /// Time from the grant of the slot to its use.
     pub lead: Duration,
-    /// How long it may wait.
-    pub until: Duration,
+    /// Time until which the reservation may wait.
+    pub deadline: Duration,
 }
 
-/// Asks an endpoint's steward for a slot.
-pub fn ask(
+/// Asks the owner of an endpoint for a slot.
+pub fn request_slot(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
     endpoint: EndpointId,
-    terms: Terms,
+    terms: SlotTerms,
     out: &mut Vec<Effect>,
 ) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let cached = match found.stage {
-        AttemptStage::Queue => {
-            estimate::cached(state, &state.requests.arena[found.request], endpoint)
+        AttemptStage::WaitingForPrefill => {
+            estimate::cached_tokens(state, &state.requests.arena[found.request], endpoint)
         }
         _ => 0,
     };
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
     let request = &state.requests.arena[found.request];
     let key = SlotKey { endpoint, request: request.id, attempt: found.number };
-    if found.asks.contains(&key) {
+    if found.reservations.contains(&key) {
         return;
     }
-    found.asks.push(key);
-    let first = found.asks.len() == 1 && found.denied.is_empty();
+    found.reservations.push(key);
+    let first = found.reservations.len() == 1 && found.denied.is_empty();
     let own = OwnSlot {
         attempt,
-        first,
+        is_first: first,
         entry: request.entry,
         tokens: terms.tokens.saturating_sub(cached),
-        sent: terms.sent,
-        lead: millis(terms.lead),
-        held: false,
-        asked: now.mono,
-        asks: 0,
-        until: terms.until,
+        transfer_tokens: terms.transfer_tokens,
+        lead_ms: to_millis(terms.lead),
+        is_held: false,
+        asked_at: now.mono,
+        ask_count: 0,
+        deadline: terms.deadline,
     };
     state.slots.own.insert(key, own);
-    send(state, now, key, out);
+    send_reservation(state, now, key, out);
 }
 
-fn send(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
-    let Some(steward) = state.members.steward(key.endpoint.0) else { return };
+fn send_reservation(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
+    let Some(owner) = state.members.owner(key.endpoint.0) else { return };
     let Some(own) = state.slots.own.get_mut(&key) else { return };
     let Some(attempt) = state.requests.attempts.get(own.attempt) else { return };
-    own.asked = now.mono;
-    own.asks += 1;
+    own.asked_at = now.mono;
+    own.ask_count += 1;
     let request = &state.requests.arena[attempt.request];
     let due = request.due;
     let (block, cached) = match attempt.stage {
-        AttemptStage::Queue => estimate::last_block(&state.view, request),
+        AttemptStage::WaitingForPrefill => estimate::last_block(&state.view, request),
         _ => (0, 0),
     };
     let reserve = Reserve {
@@ -89,57 +90,58 @@
         attempt: key.attempt,
         entry: own.entry.0,
         tokens: own.tokens,
-        wait: millis(own.until.saturating_sub(now.mono)),
-        slack: signed_millis(now.mono, due),
-        lead: own.lead,
-        sent: own.sent,
+        wait: to_millis(own.deadline.saturating_sub(now.mono)),
+        slack: to_signed_millis(now.mono, due),
+        lead: own.lead_ms,
+        sent: own.transfer_tokens,
         block,
         cached,
         begun: 0 < request.delivered,
-        first: own.first,
+        first: own.is_first,
     };
-    peer::say(state, steward, Body::Reserve(reserve), out);
+    peer::send(state, owner, Body::Reserve(reserve), out);
 }
 
-/// Gives a slot, or the wait for it, back.
+/// Releases a slot, or withdraws its reservation.
 pub fn release(state: &mut State, key: SlotKey, out: &mut Vec<Effect>) {
-    give_back(state, key, release_of(key), out);
+    send_release(state, key, release_message(key), out);
 }
 
-/// Gives a slot back after a call that failed. The steward hears of a refusal as full, for it granted a
-/// slot that was not there.
+/// Releases a slot after a failed call. If the endpoint refused the call as full, the owner is
+/// told, because it granted a slot that was not free.
 pub fn release_failed(state: &mut State, key: SlotKey, failure: Failure, out: &mut Vec<Effect>) {
-    let release = Release { full: failure == Failure::Full, ..release_of(key) };
-    give_back(state, key, release, out);
+    let release = Release { full: failure == Failure::Full, ..release_message(key) };
+    send_release(state, key, release, out);
 }
 
-/// Gives a slot back whose use ended in a stalled transfer from or to another endpoint.
+/// Releases a slot whose use ended in a stalled transfer from or to another endpoint.
 pub fn release_stalled(state: &mut State, key: SlotKey, other: EndpointId, out: &mut Vec<Effect>) {
-    let release = Release { stalled: other.0, ..release_of(key) };
-    give_back(state, key, release, out);
+    let release = Release { stalled: other.0, ..release_message(key) };
+    send_release(state, key, release, out);
 }
 
-fn give_back(state: &mut State, key: SlotKey, release: Release, out: &mut Vec<Effect>) {
+fn send_release(state: &mut State, key: SlotKey, release: Release, out: &mut Vec<Effect>) {
     if state.slots.own.remove(&key).is_none() {
         return;
     }
-    let Some(steward) = state.members.steward(key.endpoint.0) else { return };
-    peer::say(state, steward, Body::Release(release), out);
+    let Some(owner) = state.members.owner(key.endpoint.0) else { return };
+    peer::send(state, owner, Body::Release(release), out);
 }
 
-/// Withdraws all that an attempt waits for.
+/// Withdraws all waiting reservations of an attempt.
 pub fn withdraw(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    for key in std::mem::take(&mut found.asks) {
+    for key in std::mem::take(&mut found.reservations) {
         release(state, key, out);
     }
 }
 
-/// Gives an attempt a new key and number; the slots that it holds go with it, under their old names.
-pub fn renew(state: &mut State, attempt: AttemptKey) -> AttemptKey {
-    let attempt = state.requests.renew(attempt);
+/// Gives an attempt a new key and number. It keeps its slots, under the keys they were granted
+/// with.
+pub fn renew_attempt(state: &mut State, attempt: AttemptKey) -> AttemptKey {
+    let attempt = state.requests.renew_attempt(attempt);
     let found = &state.requests.attempts[attempt];
-    for slot in [found.slot, found.prefill].into_iter().flatten() {
+    for slot in [found.slot, found.prefill_slot].into_iter().flatten() {
         if let Some(own) = state.slots.own.get_mut(&slot) {
             own.attempt = attempt;
         }
@@ -147,8 +149,8 @@
     attempt
 }
 
-/// Registers a slot that is in use without having been asked for: a stream that is read on.
-pub fn adopt(
+/// Registers a slot that is used without having been requested, for a stream that is resumed.
+pub fn adopt_slot(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
@@ -162,52 +164,52 @@
     found.slot = Some(key);
     let own = OwnSlot {
         attempt,
-        first: false,
+        is_first: false,
         entry,
         tokens: 0,
-        sent: 0,
-        lead: 0,
-        held: true,
-        asked: now.mono,
-        asks: 0,
-        until: now.mono,
+        transfer_tokens: 0,
+        lead_ms: 0,
+        is_held: true,
+        asked_at: now.mono,
+        ask_count: 0,
+        deadline: now.mono,
     };
     state.slots.own.insert(key, own);
-    tell(state, endpoint, out);
+    send_holds(state, endpoint, out);
 }
 
-/// A steward granted a slot.
-pub fn granted(state: &mut State, now: Now, from: VmId, grant: &Grant, out: &mut Vec<Effect>) {
+/// Handles the grant of a slot.
+pub fn on_granted(state: &mut State, now: Now, from: VmId, grant: &Grant, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(grant.endpoint),
         request: RequestId(grant.request),
         attempt: grant.attempt,
     };
-    let known = state.health.entry(key.endpoint);
-    known.free = Some((grant.free, now.mono));
-    known.full = None;
+    let known = state.health.endpoint_mut(key.endpoint);
+    known.free_slots = Some((grant.free, now.mono));
+    known.full_until = None;
     let Some(own) = state.slots.own.get_mut(&key) else {
-        // The request took another slot or ended: without this answer the slot would stay leased
-        // until the next list of holds.
-        peer::say(state, from, Body::Release(release_of(key)), out);
+        // The request has taken another slot or ended. Without this release, the slot would stay
+        // leased until the owner receives the next list of held slots.
+        peer::send(state, from, Body::Release(release_message(key)), out);
         return;
     };
-    if own.held {
+    if own.is_held {
         return;
     }
-    own.held = true;
+    own.is_held = true;
     let attempt = own.attempt;
-    state.slots.known.insert(key.endpoint, from);
+    state.slots.known_owners.insert(key.endpoint, from);
     if let Some(found) = state.requests.attempts.get_mut(attempt) {
-        found.asks.retain(|a| *a != key);
-        found.plan.clear();
+        found.reservations.retain(|a| *a != key);
+        found.prefill_plan.clear();
     }
     withdraw(state, attempt, out);
-    place::granted(state, now, attempt, key, out);
+    place::on_granted(state, now, attempt, key, out);
 }
 
-/// A steward denied a slot.
-pub fn denied(state: &mut State, now: Now, deny: &Deny, out: &mut Vec<Effect>) {
+/// Handles the denial of a slot.
+pub fn on_denied(state: &mut State, now: Now, deny: &Deny, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(deny.endpoint),
         request: RequestId(deny.request),
@@ -217,86 +219,89 @@
     let reason = deny.reason();
     let is_full = matches!(reason, DenyReason::Full | DenyReason::Owed);
     if is_full {
-        state.health.entry(key.endpoint).full = Some(now.mono + retry);
+        state.health.endpoint_mut(key.endpoint).full_until = Some(now.mono + retry);
     }
-    let waits = state.slots.own.get(&key).is_some_and(|own| !own.held);
-    if !waits {
+    let is_waiting = state.slots.own.get(&key).is_some_and(|own| !own.is_held);
+    if !is_waiting {
         return;
     }
     let Some(own) = state.slots.own.remove(&key) else { return };
     let Some(found) = state.requests.attempts.get_mut(own.attempt) else { return };
-    found.asks.retain(|a| *a != key);
+    found.reservations.retain(|a| *a != key);
     found.denied.push(key.endpoint);
-    if !found.asks.is_empty() {
+    if !found.reservations.is_empty() {
         return;
     }
-    let most = if is_full { FULL_DENIALS } else { usize::MAX };
-    place::ask_others(state, now, own.attempt, most, out);
-    if state.requests.attempts.get(own.attempt).is_some_and(|a| a.asks.is_empty()) {
-        retry::unplaced(state, now, own.attempt, reason, retry, out);
+    let max_denials = if is_full { MAX_FULL_DENIALS } else { usize::MAX };
+    place::reserve_next(state, now, own.attempt, max_denials, out);
+    if state.requests.attempts.get(own.attempt).is_some_and(|a| a.reservations.is_empty()) {
+        retry::on_all_denied(state, now, own.attempt, reason, retry, out);
     }
 }
 
-/// A steward takes a slot back.
-pub fn preempted(state: &mut State, now: Now, preempt: &Preempt, out: &mut Vec<Effect>) {
+/// Handles an owner's message that it takes a slot back.
+pub fn on_preempted(state: &mut State, now: Now, preempt: &Preempt, out: &mut Vec<Effect>) {
     let key = SlotKey {
         endpoint: EndpointId(preempt.endpoint),
         request: RequestId(preempt.request),
         attempt: preempt.attempt,
     };
     let Some(own) = state.slots.own.get(&key) else { return };
-    retry::preempted(state, now, own.attempt, key, out);
+    retry::on_preempted(state, now, own.attempt, key, out);
 }
 
-/// Sends reservations again that wait, and renews what is held.
+/// Sends waiting reservations again, and renews held slots.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let waiting = state.slots.own.iter().filter(|(_, own)| !own.held);
-    let stale = waiting.filter(|(_, own)| own.asked + RESEND * own.asks.min(5) <= now.mono);
+    let waiting = state.slots.own.iter().filter(|(_, own)| !own.is_held);
+    let stale = waiting
+        .filter(|(_, own)| own.asked_at + RESEND_INTERVAL * own.ask_count.min(5) <= now.mono);
     let stale: Vec<_> = stale.map(|(key, own)| (*key, own.attempt)).collect();
     for (key, attempt) in stale {
-        note_queued(state, attempt, key, out);
-        send(state, now, key, out);
-        place::widen(state, now, attempt, out);
+        log_queued(state, attempt, key, out);
+        send_reservation(state, now, key, out);
+        place::widen_search(state, now, attempt, out);
     }
-    if state.slots.told + state.local.tuning.slot_lease / 3 <= now.mono {
-        state.slots.told = now.mono;
-        tell_all(state, out);
+    if state.slots.reported_at + state.local.tuning.slot_lease / 3 <= now.mono {
+        state.slots.reported_at = now.mono;
+        send_all_holds(state, out);
     }
 }
 
-fn note_queued(state: &State, attempt: AttemptKey, key: SlotKey, out: &mut Vec<Effect>) {
-    let first = state.requests.attempts.get(attempt).is_some_and(|a| a.asks.first() == Some(&key));
-    if first && state.slots.own[&key].asks == 1 {
+fn log_queued(state: &State, attempt: AttemptKey, key: SlotKey, out: &mut Vec<Effect>) {
+    let first =
+        state.requests.attempts.get(attempt).is_some_and(|a| a.reservations.first() == Some(&key));
+    if first && state.slots.own[&key].ask_count == 1 {
         out.push(Effect::Progress(Progress::Queued { request: key.request }));
     }
 }
 
-/// Tells the stewards what is held, also where nothing is any more.
-fn tell_all(state: &mut State, out: &mut Vec<Effect>) {
-    let mut endpoints: Vec<_> = state.slots.known.keys().copied().collect();
+/// Sends owners the lists of held slots, including empty lists where the last slot was released.
+fn send_all_holds(state: &mut State, out: &mut Vec<Effect>) {
+    let mut endpoints: Vec<_> = state.slots.known_owners.keys().copied().collect();
     endpoints.extend(state.slots.held().map(|(key, _)| key.endpoint));
     endpoints.sort_unstable();
     endpoints.dedup();
     for endpoint in endpoints {
-        tell(state, endpoint, out);
+        send_holds(state, endpoint, out);
     }
 }
 
-/// Tells an endpoint's steward what is held there.
-pub fn tell(state: &mut State, endpoint: EndpointId, out: &mut Vec<Effect>) {
-    let Some(steward) = state.members.steward(endpoint.0) else { return };
+/// Sends the owner of an endpoint the list of slots that this daemon holds there.
+pub fn send_holds(state: &mut State, endpoint: EndpointId, out: &mut Vec<Effect>) {
+    let Some(owner) = state.members.owner(endpoint.0) else { return };
     let holds = holds_at(state, endpoint);
     if holds.holds.is_empty() {
-        state.slots.known.remove(&endpoint);
+        state.slots.known_owners.remove(&endpoint);
     } else {
-        state.slots.known.insert(endpoint, steward);
+        state.slots.known_owners.insert(endpoint, owner);
     }
-    peer::say(state, steward, Body::Holds(holds), out);
+    peer::send(state, owner, Body::Holds(holds), out);
 }
 
-/// What this daemon holds at an endpoint.
+/// Returns the slots that this daemon holds at an endpoint.
 pub fn holds_at(state: &State, endpoint: EndpointId) -> Holds {
-    let own = state.slots.own.range(SlotKey::all_of(endpoint)).filter(|(_, own)| own.held);
+    let own =
+        state.slots.own.range(SlotKey::endpoint_range(endpoint)).filter(|(_, own)| own.is_held);
     let holds = own.map(|(key, own)| Hold {
         request: key.request.0,
         attempt: key.attempt,
@@ -306,22 +311,23 @@
     Holds { endpoint: endpoint.0, holds: holds.collect() }
 }
 
-/// Stewardships may have moved: new stewards hear at once what is held and what waits.
-pub fn members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let known = &state.slots.known;
-    let moved = known.iter().filter(|(e, vm)| state.members.steward(e.0) != Some(**vm));
+/// Handles a change of members, which may change the owners of endpoints: sends new owners the held
+/// slots and the waiting reservations without delay.
+pub fn on_members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+    let known = &state.slots.known_owners;
+    let moved = known.iter().filter(|(e, vm)| state.members.owner(e.0) != Some(**vm));
     let moved: Vec<_> = moved.map(|(endpoint, _)| *endpoint).collect();
     for endpoint in moved {
-        tell(state, endpoint, out);
+        send_holds(state, endpoint, out);
     }
-    let waiting = state.slots.own.iter().filter(|(_, own)| !own.held);
+    let waiting = state.slots.own.iter().filter(|(_, own)| !own.is_held);
     let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
     for key in waiting {
-        send(state, now, key, out);
+        send_reservation(state, now, key, out);
     }
 }
 
-fn release_of(key: SlotKey) -> Release {
+fn release_message(key: SlotKey) -> Release {
     Release {
         endpoint: key.endpoint.0,
         request: key.request.0,
@@ -330,12 +336,12 @@
     }
 }
 
-fn millis(duration: Duration) -> u32 {
+fn to_millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Milliseconds from one moment to another; negative when that has passed.
-fn signed_millis(from: Duration, to: Duration) -> i32 {
+/// Returns the milliseconds from one time to another; negative if `to` is before `from`.
+fn to_signed_millis(from: Duration, to: Duration) -> i32 {
     let ahead = i32::try_from(to.saturating_sub(from).as_millis()).unwrap_or(i32::MAX);
     let behind = i32::try_from(from.saturating_sub(to).as_millis()).unwrap_or(i32::MAX);
     if ahead == 0 { -behind } else { ahead }
--- a/crates/basilbank_core/src/reduce/retry/wait.rs
+++ b/crates/basilbank_core/src/reduce/retry/wait.rs
@@ -1,10 +1,10 @@
-//! Requests that wait: for a slot that was denied, and before they are tried again.
+//! Requests that wait after a denied slot or before a retry.
 
 use std::time::Duration;
 
 use basilbank_wire::DenyReason;
 
-use super::evicted;
+use super::on_cache_evicted;
 use crate::{
     effect::{Effect, Progress},
     ids::{AttemptKey, RequestKey},
@@ -14,20 +14,20 @@
     time::Now,
 };
 
-/// Pause before a draft that found no prefill slot asks for a decode slot again.
-pub(super) const GIVE_WAY: Duration = Duration::from_millis(250);
-/// It grows with each time, up to this many times.
-const LONGEST_WAY: u32 = 8;
-/// A refused caller is told to come back no sooner than after this: what is full now is full in a
-/// moment, and callers who come back at once keep it so.
-const SOONEST: Duration = Duration::from_millis(250);
-/// And no later.
-const LATEST: Duration = Duration::from_secs(60);
-/// Pause before a steward is asked again that could not decide.
-const STEWARD_PAUSE: Duration = Duration::from_millis(50);
+/// Initial pause before a completion that found no prefill slot asks for a decode slot again.
+pub(super) const PREFILL_RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum factor by which this pause grows; it grows with each attempt.
+const MAX_PAUSE_FACTOR: u32 = 8;
+/// Minimum `Retry-After` for a refused caller. Resources that are used up now are still used up a
+/// moment later, and callers that return immediately keep them so.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Maximum `Retry-After` for a refused caller.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+/// Mean pause before the next attempt if an owner was not able to decide.
+const UNDECIDED_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Every steward that was asked has denied a slot.
-pub fn unplaced(
+/// Handles the denial of a slot by all owners that were asked.
+pub fn on_all_denied(
     state: &mut State,
     now: Now,
     attempt: AttemptKey,
@@ -37,93 +37,99 @@
 ) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let (key, stage) = (found.request, found.stage);
-    if stage == AttemptStage::Move {
-        return evicted(state, now, attempt, out);
+    if stage == AttemptStage::Relocating {
+        return on_cache_evicted(state, now, attempt, out);
     }
-    let until = state.requests.arena[key].until;
+    let until = state.requests.arena[key].wait_deadline;
     let is_undecided = !matches!(reason, DenyReason::Full | DenyReason::Owed);
-    if is_undecided && now.mono + STEWARD_PAUSE < until {
-        let pause = STEWARD_PAUSE.mul_f64(0.5 + state.rng.unit());
-        return later(state, now, key, pause, out);
+    if is_undecided && now.mono + UNDECIDED_RETRY_PAUSE < until {
+        let pause = UNDECIDED_RETRY_PAUSE.mul_f64(0.5 + state.rng.unit());
+        return schedule_attempt(state, now, key, pause, out);
     }
-    if stage == AttemptStage::Queue && now.mono + retry.max(GIVE_WAY) < until {
-        // It held a decode slot in vain: others come first now, and it waits behind them.
-        let longer = GIVE_WAY * state.requests.arena[key].attempts.min(LONGEST_WAY);
-        let pause = longer.mul_f64(0.5 + state.rng.unit());
-        note(state, key, Retry::NoSlot, pause, out);
-        return later(state, now, key, pause, out);
+    if stage == AttemptStage::WaitingForPrefill && now.mono + retry.max(PREFILL_RETRY_PAUSE) < until
+    {
+        // It held a decode slot without using it. Other requests come first now, and it waits
+        // behind them.
+        let longest =
+            PREFILL_RETRY_PAUSE * state.requests.arena[key].attempts.min(MAX_PAUSE_FACTOR);
+        let pause = longest.mul_f64(0.5 + state.rng.unit());
+        log_retry(state, key, Retry::NoSlot, pause, out);
+        return schedule_attempt(state, now, key, pause, out);
     }
-    let refusal = if is_undecided { Refusal::NoEndpoint } else { place::refusal_of(state, key) };
-    let after = retry.clamp(SOONEST, LATEST);
-    settle::give_up(state, now, key, refusal, Some(after), out);
+    let refusal =
+        if is_undecided { Refusal::NoEndpoint } else { place::refusal_reason(state, key) };
+    let retry_after = retry.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+    settle::give_up(state, now, key, refusal, Some(retry_after), out);
 }
 
-/// No endpoint can be asked now.
-pub fn no_endpoint(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// Handles that no endpoint can be asked: waits and tries again, or gives the request up.
+pub fn on_no_endpoint(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let key = state.requests.attempts[attempt].request;
     let request = &state.requests.arena[key];
-    let exists = state.view.entry(request.entry).is_some();
+    let has_entry = state.view.entry(request.entry).is_some();
     let pause = state.local.tuning.max_backoff.mul_f64(0.5 + 0.5 * state.rng.unit());
-    if exists && now.mono + pause < request.until {
-        return later(state, now, key, pause, out);
+    if has_entry && now.mono + pause < request.wait_deadline {
+        return schedule_attempt(state, now, key, pause, out);
     }
     settle::give_up(state, now, key, Refusal::NoEndpoint, Some(pause), out);
 }
 
-/// Gives an attempt's slots back and looks for others, before anything was sent.
-pub fn anew(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+/// Releases an attempt's slots and starts a new attempt, before anything was sent.
+pub fn restart_attempt(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(key) = state.requests.attempts.get(attempt).map(|a| a.request) else { return };
-    settle::drop_attempt(state, attempt, out);
+    settle::end_attempt(state, attempt, out);
     state.requests.set_queued(key);
-    place::start(state, now, key, out);
+    place::start_attempt(state, now, key, out);
 }
 
-pub(super) fn later(
+pub(super) fn schedule_attempt(
     state: &mut State,
     now: Now,
     key: RequestKey,
     pause: Duration,
     out: &mut Vec<Effect>,
 ) {
-    if let Some((attempt, _)) = state.requests.current(key) {
-        settle::drop_attempt(state, attempt, out);
+    if let Some((attempt, _)) = state.requests.current_attempt(key) {
+        settle::end_attempt(state, attempt, out);
     }
     state.requests.set_queued(key);
     state.timers.set(now.mono + pause, Timer::Request(key));
 }
 
-/// Starts a request anew after a pause, if its attempts and the retry budget allow it.
-pub(super) fn again(
+/// Schedules a request's next attempt after a backoff, if the number of its attempts and the retry
+/// budget allow it.
+pub(super) fn retry_after_backoff(
     state: &mut State,
     now: Now,
     key: RequestKey,
     retry: Retry,
     out: &mut Vec<Effect>,
 ) {
-    if !may_retry(state, key) {
-        return settle::give_up(state, now, key, Refusal::RetriesSpent, None, out);
+    if !take_retry(state, key) {
+        return settle::give_up(state, now, key, Refusal::RetriesExhausted, None, out);
     }
     let request = &state.requests.arena[key];
     debug_assert_eq!(request.stage, RequestStage::Waiting);
     let tuning = &state.local.tuning;
     let doubled = tuning.backoff * 2u32.saturating_pow(request.failures.saturating_sub(1).min(16));
     let backoff = doubled.min(tuning.max_backoff).mul_f64(0.5 + 0.5 * state.rng.unit());
-    note(state, key, retry, backoff, out);
-    later(state, now, key, backoff, out);
+    log_retry(state, key, retry, backoff, out);
+    schedule_attempt(state, now, key, backoff, out);
 }
 
-/// Takes one retry from the request's attempts and from the budget.
-pub(super) fn may_retry(state: &mut State, key: RequestKey) -> bool {
+/// Takes one retry from the request's attempts and from the budget. Returns whether the retry is
+/// allowed.
+pub(super) fn take_retry(state: &mut State, key: RequestKey) -> bool {
     let request = &mut state.requests.arena[key];
     request.failures += 1;
-    if state.local.tuning.attempts <= request.failures || state.requests.budget < 1.0 {
+    if state.local.tuning.attempts <= request.failures || state.requests.retry_budget < 1.0 {
         return false;
     }
-    state.requests.budget -= 1.0;
+    state.requests.retry_budget -= 1.0;
     true
 }
 
-pub(super) fn note(
+pub(super) fn log_retry(
     state: &State,
     key: RequestKey,
     retry: Retry,
--- a/crates/basilbank_core/src/reduce/settle.rs
+++ b/crates/basilbank_core/src/reduce/settle.rs
@@ -1,4 +1,4 @@
-//! How requests end.
+//! The end of requests: answers, refusals, cancellation and accounting.
 
 use std::time::Duration;
 
@@ -6,29 +6,29 @@
     effect::{Answer, Effect, EngineCall, Progress},
     ids::{AttemptKey, CallerId, EndpointId, RequestKey},
     reason::{Outcome, Refusal, Waste},
-    reduce::{charge, claim, limit, reserve},
+    reduce::{claim, limit, reserve, waste},
     state::{AttemptStage, Request, RequestStage, State},
     time::Now,
 };
 
-/// When a caller should come back after a refusal that knows nothing better.
-const COME_BACK: Duration = Duration::from_secs(1);
-/// Most retries that successes can save up.
-const MOST_BUDGET: f64 = 50.0;
+/// `Retry-After` of a temporary refusal for which no better estimate is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum number of retries that successes can accumulate.
+const MAX_RETRY_BUDGET: f64 = 50.0;
 
-/// The caller left: cancel what is held for it.
-pub fn abandoned(state: &mut State, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
+/// Handles a caller that disconnected: cancels what is held for it.
+pub fn on_caller_left(state: &mut State, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
     let Some(key) = state.requests.callers.get(&caller).copied() else { return };
     if let RequestStage::Running(attempt) = state.requests.arena[key].stage {
         let found = &state.requests.attempts[attempt];
-        let is_read = found.stage == AttemptStage::Stream && 0 < found.taken;
+        let is_read = found.stage == AttemptStage::Stream && 0 < found.next_offset;
         if !is_read {
-            charge::prefill(state, now, attempt, Waste::CallerLeft, out);
+            waste::record_prefill(state, now, attempt, Waste::CallerLeft, out);
         }
-        drop_attempt(state, attempt, out);
+        end_attempt(state, attempt, out);
     }
     let Some(request) = state.requests.remove(key) else { return };
-    end(state, now, &request, Outcome::Abandoned, out);
+    finish_request(state, now, &request, Outcome::Abandoned, out);
 }
 
 /// Refuses an accepted request of which nothing was run.
@@ -39,67 +39,68 @@
     refusal: Refusal,
     out: &mut Vec<Effect>,
 ) {
-    let after = refusal.is_temporary().then_some(COME_BACK);
-    refuse_until(state, now, key, refusal, after, out);
+    let retry_after = refusal.is_temporary().then_some(DEFAULT_RETRY_AFTER);
+    refuse_with_retry_after(state, now, key, refusal, retry_after, out);
 }
 
-/// Refuses an accepted request of which nothing was run, and says when to come back.
-pub fn refuse_until(
+/// Refuses an accepted request of which nothing was run, and tells the caller when to try again.
+pub fn refuse_with_retry_after(
     state: &mut State,
     now: Now,
     key: RequestKey,
     refusal: Refusal,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     out: &mut Vec<Effect>,
 ) {
-    drop_current(state, key, out);
+    end_current_attempt(state, key, out);
     let Some(request) = state.requests.remove(key) else { return };
-    let answer = Answer::Refused { refusal, after };
+    let answer = Answer::Refused { refusal, retry_after };
     out.push(Effect::Answer { caller: request.caller, answer });
     let progress =
         Progress::Refused { request: Some(request.id), team: Some(request.team), refusal };
     out.push(Effect::Progress(progress));
-    let outcome = if request.risked { Outcome::Unknown } else { Outcome::NotRun };
-    end(state, now, &request, outcome, out);
+    let outcome = if request.may_have_run { Outcome::Unknown } else { Outcome::NotRun };
+    finish_request(state, now, &request, outcome, out);
 }
 
-/// Gives a request up: refuses it if nothing of it can have run, else says that it is unknown.
+/// Gives a request up: refuses it if nothing of it can have run, else reports that its outcome is
+/// unknown.
 pub fn give_up(
     state: &mut State,
     now: Now,
     key: RequestKey,
     refusal: Refusal,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     out: &mut Vec<Effect>,
 ) {
     let Some(request) = state.requests.arena.get(key) else { return };
-    if request.risked {
-        unknown(state, now, key, out);
+    if request.may_have_run {
+        end_as_unknown(state, now, key, out);
     } else {
-        refuse_until(state, now, key, refusal, after, out);
+        refuse_with_retry_after(state, now, key, refusal, retry_after, out);
     }
 }
 
-/// A request may have run and can't be finished.
-pub fn unknown(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
-    drop_current(state, key, out);
+/// Ends a request that may have run and can't be completed.
+pub fn end_as_unknown(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
+    end_current_attempt(state, key, out);
     let Some(request) = state.requests.remove(key) else { return };
     out.push(Effect::Answer { caller: request.caller, answer: Answer::Unknown });
-    end(state, now, &request, Outcome::Unknown, out);
+    finish_request(state, now, &request, Outcome::Unknown, out);
 }
 
-fn drop_current(state: &mut State, key: RequestKey, out: &mut Vec<Effect>) {
-    if let Some((attempt, _)) = state.requests.current(key) {
-        drop_attempt(state, attempt, out);
+fn end_current_attempt(state: &mut State, key: RequestKey, out: &mut Vec<Effect>) {
+    if let Some((attempt, _)) = state.requests.current_attempt(key) {
+        end_attempt(state, attempt, out);
     }
 }
 
-/// Ends an attempt: cancels what endpoints hold for it, and gives its slots back.
-pub fn drop_attempt(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    cancel(state, attempt, out);
+/// Ends an attempt: cancels what endpoints hold for it, and releases its slots.
+pub fn end_attempt(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
+    cancel_at_endpoints(state, attempt, out);
     reserve::withdraw(state, attempt, out);
     let Some(found) = state.requests.attempts.remove(attempt) else { return };
-    for slot in [found.slot, found.prefill].into_iter().flatten() {
+    for slot in [found.slot, found.prefill_slot].into_iter().flatten() {
         reserve::release(state, slot, out);
     }
     if let Some(request) = state.requests.arena.get_mut(found.request) {
@@ -108,26 +109,27 @@
 }
 
 /// Cancels what endpoints hold for an attempt.
-pub fn cancel(state: &State, attempt: AttemptKey, out: &mut Vec<Effect>) {
+pub fn cancel_at_endpoints(state: &State, attempt: AttemptKey, out: &mut Vec<Effect>) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let request = state.requests.arena[found.request].id;
-    let mut push = |endpoint: EndpointId, held: Option<String>| {
-        out.push(Effect::Engine(EngineCall::Cancel { attempt, endpoint, request, held }));
+    let mut push = |endpoint: EndpointId, resource: Option<String>| {
+        out.push(Effect::Engine(EngineCall::Cancel { attempt, endpoint, request, resource }));
     };
-    let (slot, prefill) = (found.slot.map(|s| s.endpoint), found.prefill.map(|s| s.endpoint));
+    let (slot, prefill) = (found.slot.map(|s| s.endpoint), found.prefill_slot.map(|s| s.endpoint));
     match (found.stage, slot, prefill) {
         (AttemptStage::Prefill, _, Some(endpoint)) => push(endpoint, None),
         (AttemptStage::Import | AttemptStage::Plain, Some(endpoint), _) => push(endpoint, None),
         (AttemptStage::Stream, Some(endpoint), _) => push(endpoint, found.stream.clone()),
         _ => {}
     }
-    if let Some(cache) = &found.cache {
+    if let Some(cache) = &found.kv_cache {
         push(cache.endpoint, Some(cache.handle.clone()));
     }
 }
 
-/// What is done at every end.
-pub fn end(
+/// Does the accounting at the end of every request: the retry budget, the entry's limit, the
+/// idempotency key and the progress report.
+pub fn finish_request(
     state: &mut State,
     now: Now,
     request: &Request,
@@ -136,26 +138,26 @@
 ) {
     if outcome == Outcome::Done {
         let ratio = state.local.tuning.retry_ratio;
-        state.requests.budget = (state.requests.budget + ratio).min(MOST_BUDGET);
+        state.requests.retry_budget = (state.requests.retry_budget + ratio).min(MAX_RETRY_BUDGET);
     }
-    let is_resumed = request.draft.as_ref().is_some_and(|d| d.resume.is_some());
-    let prompt = if 0 < request.delivered && !is_resumed { request.prompt } else { 0 };
-    let unused = request.taken.saturating_sub(prompt + request.delivered);
+    let is_resumed = request.completion.as_ref().is_some_and(|d| d.resume.is_some());
+    let prompt = if 0 < request.delivered && !is_resumed { request.prompt_tokens } else { 0 };
+    let unused = request.limit_tokens.saturating_sub(prompt + request.delivered);
     limit::give_back(state, now, request.entry, unused);
-    claim::ended(state, request, outcome);
-    let streamed = match (request.first, request.last) {
+    claim::on_ended(state, request, outcome);
+    let streamed = match (request.first_token_at, request.last_token_at) {
         (Some(first), Some(last)) => last - first,
         _ => Duration::ZERO,
     };
-    let gaps = request.delivered.saturating_sub(1).max(1);
+    let intervals = request.delivered.saturating_sub(1).max(1);
     out.push(Effect::Progress(Progress::Settled {
         request: request.id,
         team: request.team,
         entry: request.entry,
         outcome,
-        took: now.mono - request.accepted,
-        prompt,
-        generated: request.delivered,
-        tbt: streamed / gaps,
+        duration: now.mono - request.accepted_at,
+        prompt_tokens: prompt,
+        generated_tokens: request.delivered,
+        tbt: streamed / intervals,
     }));
 }
--- a/crates/basilbank_core/src/reduce/charge.rs
+++ b/crates/basilbank_core/src/reduce/waste.rs
@@ -1,4 +1,4 @@
-//! Work that no caller received is charged to nobody, and counted by cause.
+//! Records work that no caller received. It is charged to nobody, and counted by cause.
 
 use std::time::Duration;
 
@@ -10,13 +10,23 @@
     time::Now,
 };
 
-/// The prefill of an attempt that ends without its result's use.
-pub fn prefill(state: &State, now: Now, attempt: AttemptKey, waste: Waste, out: &mut Vec<Effect>) {
+/// Records the prefill time of an attempt that ends before its result was used.
+pub fn record_prefill(
+    state: &State,
+    now: Now,
+    attempt: AttemptKey,
+    waste: Waste,
+    out: &mut Vec<Effect>,
+) {
     let Some(found) = state.requests.attempts.get(attempt) else { return };
     let prefill = match found.stage {
-        AttemptStage::Prefill => now.mono.saturating_sub(found.since),
-        AttemptStage::Move | AttemptStage::Import | AttemptStage::Stream => found.spent,
-        AttemptStage::Slot | AttemptStage::Queue | AttemptStage::Plain => Duration::ZERO,
+        AttemptStage::Prefill => now.mono.saturating_sub(found.stage_since),
+        AttemptStage::Relocating | AttemptStage::Import | AttemptStage::Stream => {
+            found.prefill_time
+        }
+        AttemptStage::WaitingForSlot | AttemptStage::WaitingForPrefill | AttemptStage::Plain => {
+            Duration::ZERO
+        }
     };
     if prefill.is_zero() {
         return;
@@ -25,8 +35,8 @@
     out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens: 0 }));
 }
 
-/// Tokens that the caller had already.
-pub fn duplicate(request: RequestId, tokens: u32, out: &mut Vec<Effect>) {
+/// Records tokens that the caller had already received.
+pub fn record_duplicates(request: RequestId, tokens: u32, out: &mut Vec<Effect>) {
     let waste = Waste::Duplicate;
     let prefill = Duration::ZERO;
     out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens }));
--- /dev/null
+++ b/crates/basilbank_forward/src/log_line.rs
@@ -0,0 +1,69 @@
+//! Log lines as data, with the measurements that metrics take from them.
+
+use std::{fmt, time::Duration};
+
+use crate::reason::Retry;
+
+/// A log line: a name followed by ordered key-value pairs.
+#[derive(Clone, PartialEq, Debug)]
+pub struct LogLine {
+    /// Stable name of the line.
+    pub name: &'static str,
+    /// Keys and values in the order in which they are written.
+    pub pairs: Vec<(&'static str, String)>,
+    /// The measurement that counters and histograms record.
+    pub measurement: Option<Measurement>,
+}
+
+/// A value for counters and histograms.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum Measurement {
+    /// An attempt reported an outcome.
+    Attempt {
+        /// Stable name of the outcome.
+        outcome: &'static str,
+        /// Time since the attempt was sent.
+        duration: Duration,
+    },
+    /// A request ended.
+    Request {
+        /// Stable name of the outcome.
+        outcome: &'static str,
+        /// Time since the call arrived.
+        duration: Duration,
+    },
+    /// A permit for a call to an endpoint with a call limit was received.
+    Permit,
+    /// A call was put into quarantine.
+    Quarantined,
+    /// An extra call, beyond the first of its request, is sent.
+    Retry(Retry),
+}
+
+impl LogLine {
+    /// Creates a line without key-value pairs.
+    #[must_use]
+    pub fn new(name: &'static str) -> LogLine {
+        LogLine { name, pairs: Vec::new(), measurement: None }
+    }
+
+    /// Appends a key-value pair.
+    #[must_use]
+    pub fn with(mut self, key: &'static str, value: impl fmt::Display) -> LogLine {
+        self.pairs.push((key, value.to_string()));
+        self
+    }
+
+    /// Appends a duration in whole milliseconds.
+    #[must_use]
+    pub fn with_ms(self, key: &'static str, time: Duration) -> LogLine {
+        self.with(key, time.as_millis())
+    }
+
+    /// Sets the measurement that counters and histograms record.
+    #[must_use]
+    pub fn with_measurement(mut self, measure: Measurement) -> LogLine {
+        self.measurement = Some(measure);
+        self
+    }
+}
--- /dev/null
+++ b/crates/basilbank_forward/src/reduce/admission.rs
@@ -0,0 +1,135 @@
+//! Admission of calls: finds a call's route, team, service and deadline, or refuses it.
+
+use std::{sync::Arc, time::Duration};
+
+use super::{Context, step};
+use crate::{
+    call::Call,
+    effect::Effect,
+    log_line::LogLine,
+    reason::Refusal,
+    route::Route,
+    state::{Draft, Request, State, requests::QuotaStage},
+    team::{Credential, Team},
+};
+
+/// Admits a call and takes its first step, or refuses it.
+pub fn handle_call(ctx: &mut Context<'_>, call: Call) {
+    let id = call.id;
+    let line = LogLine::new("arrived")
+        .with("request", &call.trace_id)
+        .with("version", ctx.state.routes.version)
+        .with("wait_ms", call.caller_timeout.map_or(0, |p| p.as_millis()));
+    let line = match ctx.state.needs_proof() {
+        false => line,
+        true => {
+            let age = ctx.state.freshness.age(ctx.now);
+            line.with("proof_ms", age.map_or(-1, |age| age.as_millis() as i64))
+        }
+    };
+    let line = match &call.prompt {
+        None => line,
+        Some(prompt) => {
+            let hint = prompt.output_hint.unwrap_or_default();
+            line.with("tokens", prompt.tokens).with("most", prompt.max_output).with("hint", hint)
+        }
+    };
+    let digest = call.digest;
+    match admit(ctx, call) {
+        Ok(request) => {
+            let line = line.with("digest", request.call.digest);
+            let line = line.with("route", &request.route.name).with("service", &request.service);
+            let line = match &request.team {
+                Some(team) => line.with("team", &team.name),
+                None => line,
+            };
+            let deadline = request.deadline;
+            ctx.log(line);
+            ctx.state.requests.insert(id, request);
+            ctx.set_timer(id, deadline);
+            step::proceed(ctx, id);
+        }
+        Err(refusal) => {
+            ctx.log(line.with("digest", digest).with("refusal", refusal.as_str()));
+            let can_retry = refusal.is_not_run() && !refusal.is_final();
+            let retry_after = can_retry.then_some(ctx.state.tuning.come_back);
+            ctx.push(Effect::Refuse { request: id, refusal, retry_after });
+        }
+    }
+}
+
+fn admit(ctx: &mut Context<'_>, mut call: Call) -> Result<Request, Refusal> {
+    let state = &mut *ctx.state;
+    // Without a configuration it is unknown whether the route exists, so 404 could be wrong.
+    if !state.knows() {
+        return Err(Refusal::NotReady);
+    }
+    // A 404 is final: callers don't try again, neither elsewhere nor later.
+    let no_route = if state.outdated() { Refusal::Outdated } else { Refusal::UnknownRoute };
+    let route = state.routes.find(&call.host, &call.path).ok_or(no_route)?.clone();
+    let team = authenticate(state, &route, call.credential, ctx.now)?;
+    if let Some(team) = &team {
+        call.digest = call.digest.for_team(team.id);
+    }
+    let max_wait = call.caller_timeout.map(|p| p.saturating_sub(state.tuning.answer_margin));
+    let timeout = max_wait.unwrap_or(Duration::MAX).min(route.timeout);
+    let deadline = ctx.now + timeout;
+    if state.leaving.is_some_and(|leaving| leaving.refuses(ctx.now, deadline)) {
+        return Err(Refusal::Leaving);
+    }
+    let unit = state.rng.unit();
+    let service = route.service(unit).ok_or(Refusal::NoEndpoint)?.to_owned();
+    let budget = state.budgets.entry(service.clone()).or_default();
+    budget.called(ctx.now, &state.tuning);
+    Ok(Request {
+        version: state.routes.version,
+        team,
+        quota: QuotaStage::New,
+        arrived: ctx.now,
+        deadline,
+        live: Vec::new(),
+        attempts: 0,
+        counted: 0,
+        unpaid: 0,
+        tried: Vec::new(),
+        maybe_run: false,
+        answering: false,
+        failure: None,
+        draft: Draft::default(),
+        resume_at: None,
+        permit_by: None,
+        come_back: None,
+        timers: Vec::new(),
+        call,
+        route,
+        service,
+    })
+}
+
+/// Returns the calling team, or `None` if no key is needed.
+///
+/// A revoked key must not give access, so no call with a key is served while a newer configuration
+/// may be in force. A key that is unknown here may be known in a newer configuration, so such a
+/// call isn't refused for good.
+fn authenticate(
+    state: &State,
+    route: &Route,
+    credential: Credential,
+    now: Duration,
+) -> Result<Option<Arc<Team>>, Refusal> {
+    let Some(teams) = state.routes.teams.as_ref().filter(|_| !route.public) else {
+        return Ok(None);
+    };
+    if !state.trusts_keys(now) {
+        return Err(Refusal::KeysUnconfirmed);
+    }
+    let team = match credential {
+        Credential::None | Credential::Unusable => Err(Refusal::NoKey),
+        Credential::Key(key) => teams.find(&key).ok_or(Refusal::UnknownKey),
+    };
+    match team {
+        Ok(team) => Ok(Some(Arc::clone(team))),
+        Err(_) if state.outdated() => Err(Refusal::Outdated),
+        Err(refusal) => Err(refusal),
+    }
+}
--- /dev/null
+++ b/crates/basilbank_forward/src/reduce/placement.rs
@@ -0,0 +1,307 @@
+//! Picks an endpoint for an attempt.
+
+use std::time::Duration;
+
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use crate::{
+    endpoint::{EndpointKey, Stage},
+    state::{Endpoint, Share, State},
+};
+
+/// Fraction of the lowest cost within which endpoints count as equal, so that daemons with the same
+/// view don't all pick the same endpoint.
+const RELATIVE_COST_TOLERANCE: f64 = 0.1;
+
+/// Fraction of a decode endpoint's memory within which endpoints count as equal: about half a
+/// completion.
+const MEMORY_FRACTION_TOLERANCE: f64 = 0.04;
+
+/// Seconds within which prefill endpoints count as equal: a small part of the time to read a
+/// prompt.
+const PREFILL_SECONDS_TOLERANCE: f64 = 0.01;
+
+/// Picks the endpoint of a plain service that should answer soonest.
+pub fn pick_plain(
+    state: &mut State,
+    service: &str,
+    tried: &[EndpointKey],
+    now: Duration,
+) -> PlainChoice {
+    let local = &state.local.data_centre;
+    let remote = state.tuning.remote_cost;
+    // A new endpoint counts as the fastest of the others until it is measured. If it counted as
+    // slow, it would never be tried and so never be measured.
+    let fastest = state.directory.service(service).filter_map(|(_, e)| e.mean).min();
+    let fastest = fastest.unwrap_or_default();
+    let permitted = state.directory.service(service).filter(|(key, _)| state.has_permit(*key, now));
+    let candidates = permitted.map(|(key, endpoint)| {
+        let mean = endpoint.mean.unwrap_or(fastest);
+        let slots = f64::from(endpoint.info.slots.max(1));
+        let queue = 1.0 + f64::from(endpoint.all_calls()) / slots;
+        let remote_cost = if endpoint.info.data_centre == *local { Duration::ZERO } else { remote };
+        let cost = mean.as_secs_f64() * queue + remote_cost.as_secs_f64();
+        Candidate {
+            key,
+            cost,
+            avoided_for: avoided_for(endpoint, now),
+            tried: tried.contains(&key),
+        }
+    });
+    let candidates: Vec<_> = candidates.collect();
+    match pick_cheapest(state, &candidates, 0.0) {
+        Some(key) => PlainChoice::At(key),
+        None if state.directory.service(service).next().is_some() => PlainChoice::Limited,
+        None => PlainChoice::None,
+    }
+}
+
+/// Result of picking an endpoint for a plain call.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum PlainChoice {
+    /// Send the call to this endpoint.
+    At(EndpointKey),
+    /// All endpoints need a permit that this daemon doesn't have.
+    Limited,
+    /// The service has no endpoint.
+    None,
+}
+
+/// What a completion needs from a decode endpoint.
+#[derive(Clone, Copy, Debug)]
+pub struct Criteria {
+    /// The endpoint that keeps its KV cache or will likely read its prompt.
+    pub near: Option<EndpointKey>,
+    /// The usage that it adds to the endpoint.
+    pub share: Share,
+    /// Fraction of an endpoint's memory that is given to completions like this one.
+    pub memory_fraction: f64,
+    /// The session that it belongs to.
+    pub session: Option<u64>,
+}
+
+/// Picks the completion's home endpoint if that has capacity, else the decode endpoint with the
+/// most free memory, given the load of all daemons.
+pub fn pick_decode(
+    state: &mut State,
+    service: &str,
+    tried: &[EndpointKey],
+    criteria: &Criteria,
+    now: Duration,
+) -> DecodeChoice {
+    let Some(engine) = state.routes.engine(service) else { return DecodeChoice::None };
+    let memory = f64::from(engine.memory.max(1));
+    let (max_tokens, growth) = (memory * criteria.memory_fraction, state.growth(service));
+    let data_centre =
+        criteria.near.and_then(|key| state.directory.get(key)).map(|e| e.info.data_centre.clone());
+    let data_centre = data_centre.unwrap_or_else(|| state.local.data_centre.clone());
+    let mut has_endpoints = false;
+    let endpoints = state.directory.stage(service, Stage::Decode).inspect(|_| has_endpoints = true);
+    // An idle endpoint accepts any completion, however large.
+    let permitted = endpoints.filter(|(key, _)| state.has_permit(*key, now));
+    let peaks = permitted.map(|(key, e)| (key, e, e.peak(criteria.share, now, growth)));
+    let fitting = peaks.filter(|(_, e, peak)| e.all_calls() == 0 || *peak <= max_tokens);
+    let candidates = fitting.map(|(key, endpoint, peak)| {
+        let used = peak / memory;
+        let remote_cost =
+            if endpoint.info.data_centre == data_centre { 0.0 } else { REMOTE_MEMORY_FRACTION };
+        let cost = used + remote_cost;
+        Candidate {
+            key,
+            cost,
+            avoided_for: avoided_for(endpoint, now),
+            tried: tried.contains(&key),
+        }
+    });
+    let candidates: Vec<_> = candidates.collect();
+    // Only endpoints that don't answer, or have just refused work, have capacity. A completion that
+    // waits for one of the others is served sooner.
+    let has_usable = state.directory.stage(service, Stage::Decode).any(|(_, e)| e.avoided <= now);
+    if has_usable && candidates.iter().all(|candidate| !candidate.avoided_for.is_zero()) {
+        return DecodeChoice::Full;
+    }
+    let home =
+        criteria.session.and_then(|session| pick_home(state, service, session, &candidates, now));
+    match home.or_else(|| pick_cheapest(state, &candidates, MEMORY_FRACTION_TOLERANCE)) {
+        Some(key) => DecodeChoice::At(key),
+        None if has_endpoints => DecodeChoice::Full,
+        None => DecodeChoice::None,
+    }
+}
+
+/// Picks one of the two home endpoints of a session, which all daemons prefer for it.
+///
+/// A completion whose stream was cut comes back as another call, often to another daemon. The
+/// endpoint that decoded it before may still keep its prompt, which then need not be read again.
+/// The first home is picked unless the second has much more capacity: with a single home, some
+/// endpoints would be full while others are idle. During a cold start, when no load is known, the
+/// first home is picked.
+///
+/// A home is an instance, not one start of it. An endpoint that restarts has lost its KV caches,
+/// but so every other endpoint would lack them, and daemons that learn of the restart at different
+/// times would meanwhile place its sessions apart.
+fn pick_home(
+    state: &State,
+    service: &str,
+    session: u64,
+    candidates: &[Candidate],
+    now: Duration,
+) -> Option<EndpointKey> {
+    let weight =
+        |endpoint: &Endpoint| xxh3_64_with_seed(endpoint.info.instance.as_bytes(), session);
+    let endpoints = state.directory.stage(service, Stage::Decode);
+    let weights: Vec<_> = endpoints.map(|(key, e)| (weight(e), key)).collect();
+    let first = weights.iter().max()?;
+    let second = weights.iter().filter(|other| *other != first).max();
+    let is_usable = |candidate: &&Candidate| !candidate.tried && candidate.avoided_for.is_zero();
+    let find =
+        |(_, key): &(_, EndpointKey)| candidates.iter().filter(is_usable).find(|c| c.key == *key);
+    match (find(first), second.and_then(find)) {
+        (Some(first), Some(second)) => {
+            let is_crowded =
+                second.cost + HOME_MEMORY_FRACTION < first.cost && !state.is_blind(now);
+            Some(if is_crowded { second.key } else { first.key })
+        }
+        (first, second) => first.or(second).map(|candidate| candidate.key),
+    }
+}
+
+/// Fraction of a decode endpoint's memory by which a session's second home must be emptier than the
+/// first to be picked: about one and a half completions.
+const HOME_MEMORY_FRACTION: f64 = 0.15;
+
+/// Result of picking a decode endpoint.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum DecodeChoice {
+    /// Send the completion to this endpoint.
+    At(EndpointKey),
+    /// The memory of all endpoints is taken.
+    Full,
+    /// The service has no decode endpoint.
+    None,
+}
+
+/// Fraction of a decode endpoint's memory that counts as the cost of a remote data centre. A KV
+/// cache between data centres takes twice the time on the network; avoiding this is worth about two
+/// completions of twelve.
+const REMOTE_MEMORY_FRACTION: f64 = 0.15;
+
+/// Picks the prefill endpoint that should have read the prompt soonest.
+pub fn pick_prefill(
+    state: &mut State,
+    service: &str,
+    tried: &[EndpointKey],
+    near: Option<EndpointKey>,
+    tokens: u32,
+    now: Duration,
+) -> Option<EndpointKey> {
+    let data_centre =
+        near.and_then(|key| state.directory.get(key)).map(|e| e.info.data_centre.clone());
+    let data_centre = data_centre.unwrap_or_else(|| state.local.data_centre.clone());
+    let rate = state.tuning.prefill_rate;
+    let remote = match near {
+        Some(_) => state.tuning.remote_kv.as_secs_f64(),
+        None => state.tuning.remote_cost.as_secs_f64(),
+    };
+    let endpoints = state.directory.stage(service, Stage::Prefill);
+    let candidates =
+        endpoints.filter(|(key, _)| state.has_permit(*key, now)).map(|(key, endpoint)| {
+            let remote_cost = if endpoint.info.data_centre == data_centre { 0.0 } else { remote };
+            let cost = f64::from(endpoint.all_tokens() + tokens) / rate * endpoint.slowness
+                + endpoint.base
+                + remote_cost;
+            Candidate {
+                key,
+                cost,
+                avoided_for: avoided_for(endpoint, now),
+                tried: tried.contains(&key),
+            }
+        });
+    let candidates: Vec<_> = candidates.collect();
+    let unreported = unreported_seconds(state, service, &candidates);
+    pick_leveling(state, &candidates, PREFILL_SECONDS_TOLERANCE + unreported)
+}
+
+/// Estimates the work, in seconds, that peers have sent to the service's prefill endpoints without
+/// this daemon knowing of it yet.
+///
+/// By Little's law the known work arrived within the time that a prompt stays at an endpoint. As
+/// much again arrives in each such period, and what arrived since the peers' last reports is
+/// unknown.
+fn unreported_seconds(state: &State, service: &str, candidates: &[Candidate]) -> f64 {
+    let mean_stay = candidates.iter().map(|c| c.cost).sum::<f64>() / candidates.len().max(1) as f64;
+    let reported = state.directory.stage(service, Stage::Prefill).map(|(_, e)| e.peer_tokens);
+    let reported: f64 = reported.map(f64::from).sum::<f64>() / state.tuning.prefill_rate;
+    reported * state.peers.untold.as_secs_f64() / mean_stay.max(MIN_STAY_SECONDS)
+}
+
+/// Minimum time in seconds that a prompt is assumed to stay at a prefill endpoint; it bounds a
+/// divisor.
+const MIN_STAY_SECONDS: f64 = 0.01;
+
+struct Candidate {
+    key: EndpointKey,
+    cost: f64,
+    avoided_for: Duration,
+    tried: bool,
+}
+
+fn avoided_for(endpoint: &Endpoint, now: Duration) -> Duration {
+    endpoint.avoided.saturating_sub(now)
+}
+
+/// Picks an endpoint at random, with odds by which `work` more seconds bring the cheapest endpoints
+/// to the same cost.
+///
+/// If views are older than a call lasts, an endpoint that looks idle no longer is. All daemons
+/// would send to the same few endpoints until they learn of each other's load, and then to the next
+/// few, while others are idle. Odds based on the unknown work level the queues on average: without
+/// unknown work only the cheapest endpoints are picked, and with old views nearly all of them are
+/// equally likely.
+fn pick_leveling(state: &mut State, candidates: &[Candidate], work: f64) -> Option<EndpointKey> {
+    let rank = |c: &Candidate| (c.tried, c.avoided_for);
+    let best_rank = candidates.iter().map(rank).min()?;
+    let mut best: Vec<_> = candidates.iter().filter(|c| rank(c) == best_rank).collect();
+    best.sort_unstable_by(|a, b| a.cost.total_cmp(&b.cost));
+    let level = water_level(best.iter().map(|c| c.cost), work);
+    let mut drawn = state.rng.unit() * work;
+    for candidate in &best {
+        drawn -= (level - candidate.cost).max(0.0);
+        if drawn < 0.0 {
+            return Some(candidate.key);
+        }
+    }
+    best.first().map(|candidate| candidate.key)
+}
+
+/// Returns the level that `work` more raises the lowest of these costs to. The costs are in
+/// ascending order.
+fn water_level(sorted: impl Iterator<Item = f64>, work: f64) -> f64 {
+    let (mut sum, mut count, mut level) = (0.0, 0.0, f64::MAX);
+    for cost in sorted {
+        if level <= cost {
+            break;
+        }
+        sum += cost;
+        count += 1.0;
+        level = (work + sum) / count;
+    }
+    level
+}
+
+/// Picks one of the cheapest endpoints at random. Endpoints that are avoided or have had the call
+/// before are ranked last.
+fn pick_cheapest(
+    state: &mut State,
+    candidates: &[Candidate],
+    tolerance: f64,
+) -> Option<EndpointKey> {
+    let rank = |c: &Candidate| (c.tried, c.avoided_for);
+    let best_rank = candidates.iter().map(rank).min()?;
+    let min_cost =
+        candidates.iter().filter(|c| rank(c) == best_rank).map(|c| c.cost).fold(f64::MAX, f64::min);
+    let max_cost = min_cost + (min_cost * RELATIVE_COST_TOLERANCE).max(tolerance).max(f64::EPSILON);
+    let cheapest: Vec<_> =
+        candidates.iter().filter(|c| rank(c) == best_rank && c.cost <= max_cost).collect();
+    Some(cheapest[state.rng.index(cheapest.len())].key)
+}
--- a/crates/basilbank_forward/src/reduce/queue.rs
+++ b/crates/basilbank_forward/src/reduce/queue.rs
@@ -1,51 +1,52 @@
-//! Drafts that wait for room at a decode endpoint.
+//! Completions that wait for capacity at a decode endpoint.
 //!
-//! A draft that is sent on while every endpoint's memory is full waits there all the same, but its
-//! prompt has been read by then and its KV cache may lapse. Here it waits without costing anything,
-//! and the draft that can still be on time goes first.
+//! A completion that is sent on while the memory of all endpoints is full has to wait at an
+//! endpoint, with its prompt read and a KV cache that may expire. Waiting here costs nothing, and
+//! the completions that can still be on time go first.
 
 use std::collections::HashSet;
 
-use super::{Turn, step};
+use super::{Context, step};
 
-/// Lets drafts go on if room may have come free. A draft that is given up then may leave room to others.
-pub fn settle(turn: &mut Turn<'_>) {
-    while std::mem::take(&mut turn.state.room) {
-        serve(turn);
+/// Resumes waiting completions if capacity may have become free. A completion that is given up may
+/// in turn leave capacity for others.
+pub fn resume_waiting(ctx: &mut Context<'_>) {
+    while std::mem::take(&mut ctx.state.room) {
+        resume_once(ctx);
     }
 }
 
-/// Lets drafts go on for which there is room now.
-fn serve(turn: &mut Turn<'_>) {
-    if turn.state.waiting.is_empty() {
+/// Resumes the waiting completions that there is capacity for now.
+fn resume_once(ctx: &mut Context<'_>) {
+    if ctx.state.waiting.is_empty() {
         return;
     }
-    turn.state.served = turn.now;
-    let soonest = turn.now + turn.state.tuning.lead;
-    let requests = &turn.state.requests;
-    let mut order: Vec<_> = turn
+    ctx.state.served = ctx.now;
+    let soonest = ctx.now + ctx.state.tuning.lead;
+    let requests = &ctx.state.requests;
+    let mut order: Vec<_> = ctx
         .state
         .waiting
         .iter()
         .filter_map(|id| Some((requests.get(id)?.place(soonest), *id)))
         .collect();
     order.sort_unstable();
-    turn.state.waiting.clear();
-    turn.state.line.turn = None;
-    // Services have endpoints of their own: one that is full says nothing about the others.
-    let mut full = HashSet::new();
+    ctx.state.waiting.clear();
+    ctx.state.line.turn = None;
+    // Services have separate endpoints, so if one service is full, another may not be.
+    let mut full_services = HashSet::new();
     for (_, id) in order {
-        let Some(service) = turn.state.requests.get(&id).map(|r| r.service.clone()) else {
+        let Some(service) = ctx.state.requests.get(&id).map(|r| r.service.clone()) else {
             continue;
         };
-        if full.contains(&service) {
-            turn.state.waiting.push(id);
+        if full_services.contains(&service) {
+            ctx.state.waiting.push(id);
             continue;
         }
-        step::go_on(turn, id);
-        // It waits again: there is no room for the others of its service either.
-        if turn.state.waiting.contains(&id) {
-            full.insert(service);
+        step::proceed(ctx, id);
+        // It waits again, so there is no capacity for the other completions of its service either.
+        if ctx.state.waiting.contains(&id) {
+            full_services.insert(service);
         }
     }
 }
