--- a/crates/basilbank/src/admin/lists.rs
+++ b/crates/basilbank/src/admin/lists.rs
@@ -157,8 +157,8 @@
             says_leaving: known.is_some_and(|k| k.leaving),
             failures: known.map_or(0, |k| k.failures),
             aside: known.is_some_and(|k| k.exclusion.is_some()),
-            fencing: endpoint.fencing,
-            orders: endpoint.orders,
+            fencing: endpoint.checks_fencing,
+            orders: endpoint.accepts_orders,
         }
     };
     state.view.catalogue.endpoints.iter().map(row).collect()
@@ -205,7 +205,7 @@
 /// What the endpoints that take orders are to serve.
 pub fn orders(state: &State, names: &Names) -> Vec<OrderRow> {
     let vms = VmNames::new(state);
-    let takers = state.view.catalogue.endpoints.iter().filter(|e| e.orders);
+    let takers = state.view.catalogue.endpoints.iter().filter(|e| e.accepts_orders);
     let row = |endpoint: &Endpoint| {
         let target = ServingTarget::new(&names.view, endpoint)?;
         let serving = state.orders.reports.get(&endpoint.id);
@@ -219,7 +219,7 @@
             served_version: serving.map_or_else(String::new, |s| s.version.clone()),
             served_adapter: serving.map_or_else(String::new, |s| s.adapter.clone()),
             fence: serving.map_or(0, |s| s.fence),
-            fencing: endpoint.fencing,
+            fencing: endpoint.checks_fencing,
             steward: vms.steward(state, endpoint.id),
         })
     };
--- a/crates/basilbank/tests/shell/rig.rs
+++ b/crates/basilbank/tests/shell/rig.rs
@@ -169,7 +169,7 @@
         name: "writer".to_owned(),
         version: String::new(),
         adapter: String::new(),
-        weights: 0,
+        weight_bytes: 0,
         token_bytes: 0,
         block_tokens: 16,
     };
@@ -193,8 +193,8 @@
         slots: 4,
         prefill_rate: 1000.0,
         link_rate: 0,
-        fencing: false,
-        orders: false,
+        checks_fencing: false,
+        accepts_orders: false,
         leaving: false,
     }
 }
--- a/crates/basilbank_config/src/catalogue/across.rs
+++ b/crates/basilbank_config/src/catalogue/across.rs
@@ -42,18 +42,18 @@
 
 fn check_prefixes(report: &mut Report<'_>, parts: &Parts) {
     let mut services: Vec<_> = parts.services.iter().collect();
-    services.sort_by_key(|s| (&s.value.prefix, s.spot));
+    services.sort_by_key(|s| (&s.value.path_prefix, s.spot));
     let mut outer = services.first();
     for service in services.iter().skip(1) {
         let Some(first) = outer else { break };
-        if !service.value.prefix.starts_with(&first.value.prefix) {
+        if !service.value.path_prefix.starts_with(&first.value.path_prefix) {
             outer = Some(service);
             continue;
         }
         let (a, b) = (&first.value, &service.value);
         let message = format!(
             "the prefix {} of service \"{}\" is within {} of service \"{}\"",
-            b.prefix, b.name, a.prefix, a.name
+            b.path_prefix, b.name, a.path_prefix, a.name
         );
         report.clash(service.spot, first.spot, message, "write prefixes that don't overlap");
     }
--- a/crates/basilbank_config/src/catalogue/read.rs
+++ b/crates/basilbank_config/src/catalogue/read.rs
@@ -92,7 +92,7 @@
         name: name.to_owned(),
         ttft: fields.millis("ttft_ms")?,
         tbt: fields.millis("tbt_ms").unwrap_or(Duration::ZERO),
-        wait: fields.millis("wait_ms").unwrap_or(Duration::ZERO),
+        max_wait: fields.millis("wait_ms").unwrap_or(Duration::ZERO),
         priority: fields.count("priority").unwrap_or(0),
     };
     parts.classes.push(Placed { value: class, spot: fields.spot() });
@@ -108,7 +108,7 @@
         name: name.to_owned(),
         version: fields.text("version")?.to_owned(),
         adapter: fields.text("adapter").unwrap_or_default().to_owned(),
-        weights: fields.whole("weight_bytes")?,
+        weight_bytes: fields.whole("weight_bytes")?,
         token_bytes: fields.whole("kv_bytes_per_token")?,
         block_tokens: fields.count("block_tokens").unwrap_or(BLOCK_TOKENS),
     };
@@ -121,8 +121,12 @@
     let id = ServiceId::of(name);
     parts.service_names.names.add(id.0, name, fields.spot_of("name"));
     let prefix = read_prefix(report, fields)?;
-    let service =
-        Service { id, name: name.to_owned(), prefix, repeatable: read_methods(report, fields) };
+    let service = Service {
+        id,
+        name: name.to_owned(),
+        path_prefix: prefix,
+        repeatable_methods: read_methods(report, fields),
+    };
     parts.services.push(Placed { value: service, spot: fields.spot_of("prefix") });
     Some(())
 }
@@ -225,8 +229,8 @@
         slots: fields.count("slots")?,
         prefill_rate: fields.number("prefill_tokens_per_s").unwrap_or(0.0),
         link_rate: fields.whole("link_bytes_per_s").unwrap_or(0),
-        fencing: fields.flag("fencing").unwrap_or(false),
-        orders: fields.flag("orders").unwrap_or(false),
+        checks_fencing: fields.flag("fencing").unwrap_or(false),
+        accepts_orders: fields.flag("orders").unwrap_or(false),
         leaving: fields.flag("leaving").unwrap_or(false),
     };
     parts.endpoints.push(Placed { value: endpoint, spot: fields.spot_of("address") });
--- a/crates/basilbank_config/src/diff/describe.rs
+++ b/crates/basilbank_config/src/diff/describe.rs
@@ -97,7 +97,7 @@
         vec![
             ("ttft_ms", millis(self.ttft)),
             ("tbt_ms", tbt),
-            ("wait_ms", millis(self.wait)),
+            ("wait_ms", millis(self.max_wait)),
             ("priority", self.priority.to_string()),
         ]
     }
@@ -114,7 +114,7 @@
         vec![
             ("version", self.version.clone()),
             ("adapter", or_none(&self.adapter)),
-            ("weight_bytes", self.weights.to_string()),
+            ("weight_bytes", self.weight_bytes.to_string()),
             ("kv_bytes_per_token", self.token_bytes.to_string()),
             ("block_tokens", self.block_tokens.to_string()),
         ]
@@ -129,7 +129,10 @@
     }
 
     fn fields(&self, _: &Lookup<'_>) -> Vec<Shown> {
-        vec![("prefix", self.prefix.clone()), ("repeatable", self.repeatable.join(" "))]
+        vec![
+            ("prefix", self.path_prefix.clone()),
+            ("repeatable", self.repeatable_methods.join(" ")),
+        ]
     }
 }
 
@@ -174,8 +177,8 @@
             ("slots", self.slots.to_string()),
             ("prefill_tokens_per_s", self.prefill_rate.to_string()),
             ("link_bytes_per_s", self.link_rate.to_string()),
-            ("fencing", self.fencing.to_string()),
-            ("orders", self.orders.to_string()),
+            ("fencing", self.checks_fencing.to_string()),
+            ("orders", self.accepts_orders.to_string()),
             ("leaving", self.leaving.to_string()),
         ]
     }
--- a/crates/basilbank_config/src/diff/follow.rs
+++ b/crates/basilbank_config/src/diff/follow.rs
@@ -49,7 +49,7 @@
         }
         let target = EntryTarget::Model(self.id);
         let serving = lookup.new.endpoints.iter().filter(|e| e.serves == target);
-        let (ordered, manual): (Vec<_>, Vec<_>) = serving.partition(|e| e.orders);
+        let (ordered, manual): (Vec<_>, Vec<_>) = serving.partition(|e| e.accepts_orders);
         Some(Consequence::Rolls {
             model: self.name.clone(),
             version: self.version.clone(),
--- a/crates/basilbank_config/tests/catalogue_findings.rs
+++ b/crates/basilbank_config/tests/catalogue_findings.rs
@@ -49,8 +49,8 @@
     let catalogue = checked.catalogue.unwrap();
     assert_eq!(catalogue.revision, 7);
     assert_eq!(catalogue.entries[0].limits.owed, 0.4);
-    assert_eq!(catalogue.services[0].repeatable, ["GET", "HEAD"]);
-    assert_eq!(catalogue.models[0].weights, 16_000_000_000);
+    assert_eq!(catalogue.services[0].repeatable_methods, ["GET", "HEAD"]);
+    assert_eq!(catalogue.models[0].weight_bytes, 16_000_000_000);
 }
 
 #[test_case("{ \"teams\": [", "1:12", "not JSON"; "unterminated")]
--- a/crates/basilbank_core/src/catalogue.rs
+++ b/crates/basilbank_core/src/catalogue.rs
@@ -52,7 +52,7 @@
     pub tbt: Duration,
     /// How long a request may wait for capacity beyond its target before it is refused; zero for a
     /// class that is refused at once when its target can't be met.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Higher goes first at the engines.
     pub priority: u8,
 }
@@ -69,7 +69,7 @@
     /// The adapter that endpoints shall have loaded; empty for none.
     pub adapter: String,
     /// Size of the weights in bytes, for the weight store's rate.
-    pub weights: u64,
+    pub weight_bytes: u64,
     /// KV cache bytes of one token.
     pub token_bytes: u64,
     /// Tokens of one block of the prefix cache.
@@ -84,9 +84,9 @@
     /// The name.
     pub name: String,
     /// Callers' paths that start with this go to the service, for example `/desk/`.
-    pub prefix: String,
+    pub path_prefix: String,
     /// Methods whose calls may be repeated, in upper case.
-    pub repeatable: Vec<String>,
+    pub repeatable_methods: Vec<String>,
 }
 
 /// One entry: a team may use a model or a service, within limits, under a class's promise.
@@ -161,9 +161,9 @@
     /// Bytes a second on its link.
     pub link_rate: u64,
     /// It refuses orders with an old fencing number.
-    pub fencing: bool,
+    pub checks_fencing: bool,
     /// It takes orders to load a model or to change role.
-    pub orders: bool,
+    pub accepts_orders: bool,
     /// The operators are taking it away: no new work.
     pub leaving: bool,
 }
--- a/crates/basilbank_core/src/reduce/admit.rs
+++ b/crates/basilbank_core/src/reduce/admit.rs
@@ -142,7 +142,7 @@
     let entry_record = state.view.entry(entry);
     if let Some(class) = entry_record.and_then(|e| state.view.class(e.class)) {
         request.due = now.mono + class.ttft;
-        request.wait_deadline = request.due + class.wait;
+        request.wait_deadline = request.due + class.max_wait;
     }
     request.repeatable = call.repeatable.unwrap_or_else(|| match &call.kind {
         CallKind::Completion(_) => true,
@@ -160,6 +160,6 @@
 }
 
 fn is_repeatable(plain: &PlainCall, service: Option<&Service>) -> bool {
-    let is_listed = service.is_some_and(|s| s.repeatable.contains(&plain.method));
+    let is_listed = service.is_some_and(|s| s.repeatable_methods.contains(&plain.method));
     is_listed || SAFE_METHODS.contains(&plain.method.as_str())
 }
--- a/crates/basilbank_core/src/reduce/catalogue/platform.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/platform.rs
@@ -79,8 +79,8 @@
 
 /// The platform did not answer.
 pub fn on_documents_failed(state: &mut State, now: Now) {
-    let wait = retry_delay(state, state.documents.catalogue_reader.failures);
-    state.documents.catalogue_reader.record_failure(now.mono + wait);
+    let delay = retry_delay(state, state.documents.catalogue_reader.failures);
+    state.documents.catalogue_reader.record_failure(now.mono + delay);
 }
 
 /// The platform sent the VM list.
@@ -99,8 +99,8 @@
 
 /// The platform did not send the VM list.
 pub fn on_vms_failed(state: &mut State, now: Now) {
-    let wait = retry_delay(state, state.documents.vms_reader.failures);
-    state.documents.vms_reader.record_failure(now.mono + wait);
+    let delay = retry_delay(state, state.documents.vms_reader.failures);
+    state.documents.vms_reader.record_failure(now.mono + delay);
 }
 
 /// Whether this daemon watches the platform: it is among the live members that rank highest for it,
@@ -151,6 +151,6 @@
     if state.members.own_status.has_list && !is_watcher(state) {
         return own_read_interval(state);
     }
-    let wait = INITIAL_RETRY_DELAY * 2_u32.saturating_pow(failures.min(8));
-    wait.min(MAX_RETRY_DELAY).mul_f64(0.5 + state.rng.unit())
+    let delay = INITIAL_RETRY_DELAY * 2_u32.saturating_pow(failures.min(8));
+    delay.min(MAX_RETRY_DELAY).mul_f64(0.5 + state.rng.unit())
 }
--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -36,7 +36,7 @@
 pub fn begin(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.arena.get(key) else { return };
     let Some(text) = &request.idempotency_key else { return };
-    let name = ClaimKey::new(request.team, text);
+    let claim_key = ClaimKey::new(request.team, text);
     let made = uuid_v7_unix_ms(text);
     let id = request.id;
     let record = KeyRecord {
@@ -46,10 +46,10 @@
         repeatable: request.repeatable,
         ..KeyRecord::default()
     };
-    let voters = state.members.voters(name.subject());
+    let voters = state.members.voters(claim_key.subject());
     let claim = OwnClaim {
         request: key,
-        key: name,
+        key: claim_key,
         key_time: made,
         voters: voters.into_iter().map(Voter::new).collect(),
         phase: ClaimPhase::Asking,
--- a/crates/basilbank_core/src/reduce/limit/holder.rs
+++ b/crates/basilbank_core/src/reduce/limit/holder.rs
@@ -21,14 +21,14 @@
 /// A daemon without a lease asks again after this.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 /// A daemon whose lease is nearly used up asks for more after this.
-const MIN_INTERVAL_FOR_MORE: Duration = Duration::from_millis(100);
+const MIN_EXTENSION_INTERVAL: Duration = Duration::from_millis(100);
 /// One whose lease is a ration asks after this: nobody has more to give.
-const MIN_INTERVAL_FOR_MORE_RATION: Duration = Duration::from_secs(2);
+const MIN_RATION_EXTENSION_INTERVAL: Duration = Duration::from_secs(2);
 /// Requests in progress without a lease are told again after this, so that a new steward learns of
 /// them.
 const RUNNING_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 /// A lease is renewed if calls came within this time.
-const RENEWED_IF_USED_WITHIN: Duration = Duration::from_secs(10);
+const RECENT_USE_PERIOD: Duration = Duration::from_secs(10);
 /// An entry that was not used for this long is forgotten.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -65,7 +65,7 @@
 pub fn request_more(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
     let Some(usage) = state.limits.usages.get(&entry) else { return };
     let interval =
-        if usage.is_rationed() { MIN_INTERVAL_FOR_MORE_RATION } else { MIN_INTERVAL_FOR_MORE };
+        if usage.is_rationed() { MIN_RATION_EXTENSION_INTERVAL } else { MIN_EXTENSION_INTERVAL };
     if usage.is_frequent(now.mono) && has_passed(usage.last_asked, interval, now) {
         send_report(state, now, entry, out);
     }
@@ -91,7 +91,7 @@
 fn is_due(usage: &Usage, limits: &Limits, now: Now) -> bool {
     let is_dense = usage.is_frequent(now.mono);
     if let Some((_, until)) = usage.lease {
-        let is_used = is_dense || now.mono < usage.last_used + RENEWED_IF_USED_WITHIN;
+        let is_used = is_dense || now.mono < usage.last_used + RECENT_USE_PERIOD;
         return is_used
             && until <= now.mono + RENEWAL_MARGIN
             && has_passed(usage.last_asked, MIN_REQUEST_INTERVAL, now);
--- a/crates/basilbank_core/src/reduce/limit/owner.rs
+++ b/crates/basilbank_core/src/reduce/limit/owner.rs
@@ -54,10 +54,10 @@
     shared.fill(&limits, now.mono);
     shared.update_holder(from, LimitDemand::from_ask(ask), ask.running, now.mono);
     let is_new = changed <= shared.since && now.mono < changed + TAKEOVER_CAUTION;
-    let part = LimitShare::fraction(&full_limits, 1.0 / listed);
-    let most = is_new.then(|| cautious_share(ask, &part));
-    let (limits, part, most) = (&limits, &part, most.as_ref());
-    let terms = LeaseTerms { vm: from, limits, per_vm: part, max_lease: most, mono: now.mono };
+    let per_vm = LimitShare::fraction(&full_limits, 1.0 / listed);
+    let max_lease = is_new.then(|| cautious_share(ask, &per_vm));
+    let (limits, per_vm, max_lease) = (&limits, &per_vm, max_lease.as_ref());
+    let terms = LeaseTerms { vm: from, limits, per_vm, max_lease, mono: now.mono };
     let taken = shared.take(limits, ask.taken, ask.taken_tokens, now.mono);
     if LimitDemand::from_ask(ask).wants_lease()
         && let Some(share) = shared.lease(&terms, now.mono + LEASE_TTL + LEASE_GRACE)
@@ -136,11 +136,11 @@
 
 /// What a steward leases while another may still do so: what the asker has anyway, or its part by
 /// the length of the list. Without this, whatever the former steward leased would come on top.
-fn cautious_share(ask: &AskLimit, part: &LimitShare) -> LimitShare {
+fn cautious_share(ask: &AskLimit, per_vm: &LimitShare) -> LimitShare {
     LimitShare {
-        requests: part.requests.max(ask.held as f64 / 1000.0),
-        tokens: part.tokens.max(ask.held_tokens as f64),
-        concurrent: part.concurrent.max(ask.running),
+        requests: per_vm.requests.max(ask.held as f64 / 1000.0),
+        tokens: per_vm.tokens.max(ask.held_tokens as f64),
+        concurrent: per_vm.concurrent.max(ask.running),
     }
 }
 
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -70,13 +70,13 @@
     out: &mut Vec<Effect>,
 ) {
     let epoch = state.members.epoch;
-    let rumours = gossip::rumour_rounds(&state.members);
+    let record_sends = gossip::record_sends_per_change(&state.members);
     state.members.has_heartbeat = true;
     if let Some(member) = state.members.all.get_mut(&from) {
         member.heartbeat_counter = member.heartbeat_counter.max(heartbeat.counter);
         if heartbeat.leaving && !member.announced_leaving {
             member.announced_leaving = true;
-            member.record_sends = rumours;
+            member.record_sends = record_sends;
             state.members.refresh();
         }
     }
@@ -132,7 +132,7 @@
         check_superseded(state, seen, out);
         return;
     }
-    let rumours = gossip::rumour_rounds(&state.members);
+    let record_sends = gossip::record_sends_per_change(&state.members);
     let Some(member) = state.members.all.get(&vm) else { return };
     let is_new_incarnation = member.incarnation < seen.incarnation;
     let is_newer =
@@ -148,7 +148,7 @@
     member.heartbeat_counter = member.heartbeat_counter.max(seen.counter);
     if seen.leaving && !member.announced_leaving {
         member.announced_leaving = true;
-        member.record_sends = rumours;
+        member.record_sends = record_sends;
         state.members.refresh();
     }
 }
@@ -161,7 +161,7 @@
     incarnation: u64,
     out: &mut Vec<Effect>,
 ) {
-    let rumours = gossip::rumour_rounds(&state.members);
+    let record_sends = gossip::record_sends_per_change(&state.members);
     let Some(member) = state.members.all.get_mut(&vm) else { return };
     member.last_seen = member.last_seen.max(Some(last_seen));
     let former = member.incarnation;
@@ -172,7 +172,7 @@
         member.is_mismatched = false;
     }
     if former != 0 && former < incarnation {
-        member.record_sends = rumours;
+        member.record_sends = record_sends;
     }
     if !member.live {
         mark_live(state, vm, out);
--- a/crates/basilbank_core/src/reduce/member/gossip.rs
+++ b/crates/basilbank_core/src/reduce/member/gossip.rs
@@ -82,7 +82,7 @@
 }
 
 /// How many heartbeats carry a member's news: by then all but surely all members have it.
-pub fn rumour_rounds(members: &Members) -> u32 {
+pub fn record_sends_per_change(members: &Members) -> u32 {
     4 + 2 * members.listed().len().ilog2()
 }
 
--- a/crates/basilbank_core/src/reduce/order.rs
+++ b/crates/basilbank_core/src/reduce/order.rs
@@ -92,7 +92,7 @@
         return;
     }
     let mut to_read = Vec::new();
-    let orderable = owned_endpoints(state).filter(|e| e.orders && !e.leaving);
+    let orderable = owned_endpoints(state).filter(|e| e.accepts_orders && !e.leaving);
     let owned: BTreeMap<_, _> = orderable.map(|e| (e.id, e.clone())).collect();
     for endpoint in owned.values() {
         state.orders.owned_since.entry(endpoint.id).or_insert(now.mono);
--- a/crates/basilbank_core/src/reduce/order/rollout.rs
+++ b/crates/basilbank_core/src/reduce/order/rollout.rs
@@ -124,7 +124,7 @@
 ) -> Vec<EndpointId> {
     let serves = EntryTarget::Model(model);
     let all = state.view.catalogue.endpoints.iter();
-    let before = all.filter(|e| e.serves == serves && e.orders && !e.leaving && e.id < own);
+    let before = all.filter(|e| e.serves == serves && e.accepts_orders && !e.leaving && e.id < own);
     let mut before: Vec<_> = before.collect();
     before.sort_unstable_by_key(|e| e.id);
     let mut unchanged = Vec::new();
@@ -155,7 +155,8 @@
     for endpoint in pool.filter(|e| e.id != own.id) {
         let Some(target) = ServingTarget::new(&state.view, endpoint) else { continue };
         let Some(serving) = state.orders.reports.get(&endpoint.id) else { continue };
-        let is_next = endpoint.orders && endpoint.id < own.id && !serving.is_on_target(&target);
+        let is_next =
+            endpoint.accepts_orders && endpoint.id < own.id && !serving.is_on_target(&target);
         if is_next || !serving.is_usable_for(&target) {
             unavailable.slots += slots(endpoint);
             unavailable.changing += usize::from(!serving.unresponsive);
--- a/crates/basilbank_core/src/reduce/order/send.rs
+++ b/crates/basilbank_core/src/reduce/order/send.rs
@@ -29,8 +29,8 @@
 /// and no daemon writes anything to get one.
 #[must_use]
 pub fn fencing_number(state: &State) -> u64 {
-    let part = |revision: u64| revision.min(u32::MAX.into());
-    part(state.view.catalogue.revision) << 32 | part(state.documents.vms.revision)
+    let clamp = |revision: u64| revision.min(u32::MAX.into());
+    clamp(state.view.catalogue.revision) << 32 | clamp(state.documents.vms.revision)
 }
 
 /// Whether this daemon may order an endpoint now.
@@ -40,7 +40,7 @@
 /// still arrive and undo a newer one; a new steward lets that time pass, orders, and reads back.
 #[must_use]
 pub fn may_order(state: &State, now: Now, endpoint: &Endpoint, serving: &ServingStatus) -> bool {
-    if endpoint.fencing {
+    if endpoint.checks_fencing {
         return serving.fence <= fencing_number(state);
     }
     let hold_off = state.local.tuning.dead_after + MAX_ORDER_TRANSIT;
@@ -106,7 +106,7 @@
 /// How long an endpoint may take to load its model.
 fn max_load_time(state: &State, endpoint: &Endpoint) -> Duration {
     let EntryTarget::Model(model) = endpoint.serves else { return LOAD_MARGIN };
-    let weights = state.view.model(model).map_or(0, |m| m.weights);
+    let weights = state.view.model(model).map_or(0, |m| m.weight_bytes);
     let rates = [endpoint.link_rate, state.view.catalogue.weight_rate];
     let rate = rates.into_iter().filter(|rate| *rate != 0).min();
     let transfer = rate.map_or(0.0, |rate| weights as f64 / rate as f64);
--- a/crates/basilbank_core/src/reduce/reap.rs
+++ b/crates/basilbank_core/src/reduce/reap.rs
@@ -25,7 +25,7 @@
 
 /// Why something is cancelled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Cause {
+enum CancelCause {
     /// Its daemon cancelled it before, and the cancel was lost.
     Cancelled,
     /// Its daemon is gone, or has not been heard, and nobody read it since.
@@ -86,8 +86,7 @@
 /// itself, and no error is seen anywhere.
 pub fn track_cancels(state: &mut State, now: Now, effects: &[Effect]) {
     for effect in effects {
-        let Effect::Engine(EngineCall::Cancel { endpoint, request, resource: held, .. }) = effect
-        else {
+        let Effect::Engine(EngineCall::Cancel { endpoint, request, resource, .. }) = effect else {
             continue;
         };
         if state.view.endpoint(*endpoint).is_none_or(|e| e.role == Role::Plain) {
@@ -98,8 +97,8 @@
             state.timers.set(due, Timer::Reap);
             CancelWatch { check_at: due, listed_at: Duration::ZERO, cancelled: Vec::new() }
         });
-        let (request, held) = (*request, held.clone());
-        watch.cancelled.push(CancelledAttempt { request, resource: held, cancelled_at: now.mono });
+        let (request, resource) = (*request, resource.clone());
+        watch.cancelled.push(CancelledAttempt { request, resource, cancelled_at: now.mono });
     }
 }
 
@@ -121,11 +120,11 @@
     }
 }
 
-fn cancel(endpoint: EndpointId, info: &StreamInfo, cause: Cause, out: &mut Vec<Effect>) {
+fn cancel(endpoint: EndpointId, info: &StreamInfo, cause: CancelCause, out: &mut Vec<Effect>) {
     let name = match cause {
-        Cause::Cancelled => "reaped_cancelled",
-        Cause::Orphaned => "reaped_orphaned",
-        Cause::Unread => "reaped_unread",
+        CancelCause::Cancelled => "reaped_cancelled",
+        CancelCause::Orphaned => "reaped_orphaned",
+        CancelCause::Unread => "reaped_unread",
     };
     let pairs = vec![
         ("endpoint", endpoint.to_string()),
@@ -148,16 +147,16 @@
     endpoint: EndpointId,
     info: &StreamInfo,
     live: &HashSet<RequestId>,
-) -> Option<Cause> {
+) -> Option<CancelCause> {
     let local = &state.local;
     let is_own = info.vm == local.vm && info.incarnation == local.incarnation;
     if is_own {
         let is_live = live.contains(&RequestId(info.request));
         if was_cancelled(state, endpoint, info, is_live) {
-            return Some(Cause::Cancelled);
+            return Some(CancelCause::Cancelled);
         }
         let is_unread = local.tuning.unread_limit <= info.idle;
-        return (is_unread && !is_live).then_some(Cause::Unread);
+        return (is_unread && !is_live).then_some(CancelCause::Unread);
     }
     let members = &state.members;
     if !members.may_decide() || members.owner(endpoint.0) != Some(members.own) {
@@ -165,13 +164,13 @@
     }
     if info.is_kv_cache {
         return (MAX_KV_CACHE_LIFE <= info.idle && is_daemon_gone(state, info))
-            .then_some(Cause::Orphaned);
+            .then_some(CancelCause::Orphaned);
     }
     if local.tuning.unread_limit <= info.idle {
-        return Some(Cause::Unread);
+        return Some(CancelCause::Unread);
     }
     (local.tuning.stream_grace <= info.idle && is_daemon_gone(state, info))
-        .then_some(Cause::Orphaned)
+        .then_some(CancelCause::Orphaned)
 }
 
 /// Whether this daemon cancelled it and the cancel has had no effect. A request that lives may hold
--- a/crates/basilbank_core/src/state/view.rs
+++ b/crates/basilbank_core/src/state/view.rs
@@ -49,8 +49,8 @@
 
     fn index_services(&mut self, catalogue: &Catalogue) {
         for (i, service) in catalogue.services.iter().enumerate() {
-            self.prefixes.insert(service.prefix.clone(), i);
-            self.prefix_lengths.push(service.prefix.len());
+            self.prefixes.insert(service.path_prefix.clone(), i);
+            self.prefix_lengths.push(service.path_prefix.len());
         }
         self.prefix_lengths.sort_unstable_by_key(|length| Reverse(*length));
         self.prefix_lengths.dedup();
--- a/crates/basilbank_core/tests/daemons/claims.rs
+++ b/crates/basilbank_core/tests/daemons/claims.rs
@@ -175,7 +175,7 @@
 #[test]
 fn a_request_that_slept_through_the_window_is_not_sent() {
     let mut with = Catalogue { revision: 2, ..catalogue() };
-    with.classes[1].wait = WINDOW * 2;
+    with.classes[1].max_wait = WINDOW * 2;
     let mut without = Catalogue { revision: 1, ..with.clone() };
     without.endpoints.iter_mut().for_each(|e| e.leaving = true);
     let mut fleet = Fleet::new(8, Tuning::default(), without);
@@ -193,7 +193,7 @@
 fn a_request_that_was_not_run_frees_its_key() {
     let mut without = catalogue();
     without.endpoints.clear();
-    without.classes[1].wait = Duration::ZERO;
+    without.classes[1].max_wait = Duration::ZERO;
     let mut fleet = Fleet::new(8, Tuning::default(), without);
     fleet.run(WINDOW);
     assert_eq!(fleet.refused(0, "order-1"), Some(Refusal::NoEndpoint));
--- a/crates/basilbank_core/tests/daemons/fleet.rs
+++ b/crates/basilbank_core/tests/daemons/fleet.rs
@@ -348,7 +348,7 @@
     }
     for class in [&mut spec.drafts, &mut spec.calls] {
         class.ttft = Duration::from_secs(2);
-        class.wait = Duration::from_secs(30);
+        class.max_wait = Duration::from_secs(30);
     }
     spec
 }
--- a/crates/basilbank_core/tests/daemons/orders.rs
+++ b/crates/basilbank_core/tests/daemons/orders.rs
@@ -240,7 +240,7 @@
 
 fn without_fencing() -> Catalogue {
     let mut catalogue = catalogue();
-    catalogue.endpoints.iter_mut().for_each(|e| e.fencing = false);
+    catalogue.endpoints.iter_mut().for_each(|e| e.checks_fencing = false);
     catalogue
 }
 
@@ -260,7 +260,7 @@
 
 /// An order without effect is sent again after 5, 10, 20 and 40 seconds.
 #[test_case(|_| (), "v1", 30, 0..=0; "serves what it should")]
-#[test_case(|e| e.orders = false, "v0", 60, 0..=0; "takes no orders")]
+#[test_case(|e| e.accepts_orders = false, "v0", 60, 0..=0; "takes no orders")]
 #[test_case(|_| (), "v0", 60, 3..=5; "does not follow")]
 fn orders_by_what_an_endpoint_serves(
     change: fn(&mut Endpoint),
--- a/crates/basilbank_core/tests/policy/queues.rs
+++ b/crates/basilbank_core/tests/policy/queues.rs
@@ -75,7 +75,7 @@
         world.ask(Ask::draft(i as usize % 2, 1000, 5).at(START + millis(100) * i));
     }
     world.run_until(START + secs(80));
-    let wait = world.spec.drafts.ttft + world.spec.drafts.wait;
+    let wait = world.spec.drafts.ttft + world.spec.drafts.max_wait;
     let refused = world.callers.tries.iter().filter_map(|one| match one.end {
         Some((at, End::Refused(_))) => Some(at - one.sent),
         _ => None,
--- a/crates/basilbank_core/tests/world/endpoint.rs
+++ b/crates/basilbank_core/tests/world/endpoint.rs
@@ -169,7 +169,7 @@
             version: "v1".into(),
             adapter: String::new(),
             orders: Vec::new(),
-            fencing: endpoint.fencing,
+            fencing: endpoint.checks_fencing,
             link_free: Duration::ZERO,
             link_rate: endpoint.link_rate.max(1),
             refused: 0,
--- a/crates/basilbank_core/tests/world/spec.rs
+++ b/crates/basilbank_core/tests/world/spec.rs
@@ -230,15 +230,15 @@
                 name: self.model.into(),
                 version: "v1".into(),
                 adapter: String::new(),
-                weights: 10_000_000_000,
+                weight_bytes: 10_000_000_000,
                 token_bytes: self.token_bytes,
                 block_tokens: 16,
             }],
             services: vec![Service {
                 id: service,
                 name: self.service.into(),
-                prefix: format!("/{}/", self.service),
-                repeatable: vec!["GET".into(), "HEAD".into()],
+                path_prefix: format!("/{}/", self.service),
+                repeatable_methods: vec!["GET".into(), "HEAD".into()],
             }],
             weight_rate: 5_000_000_000,
             ..Catalogue::default()
@@ -288,8 +288,8 @@
             slots: pool.slots,
             prefill_rate: if role == Role::Prefill { self.prefill_rate } else { 0.0 },
             link_rate: if model { self.link_rate } else { 0 },
-            fencing: self.unfenced == 0 || i % self.unfenced != self.unfenced - 1,
-            orders: model,
+            checks_fencing: self.unfenced == 0 || i % self.unfenced != self.unfenced - 1,
+            accepts_orders: model,
             leaving: false,
         }
     }
@@ -301,7 +301,7 @@
         name: name.into(),
         ttft: Duration::from_millis(ttft),
         tbt: Duration::from_millis(tbt),
-        wait: Duration::from_millis(wait),
+        max_wait: Duration::from_millis(wait),
         priority,
     }
 }
