--- a/crates/basilbank_core/src/catalogue.rs
+++ b/crates/basilbank_core/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! What the operators' catalogue says, compiled. Plain data; `basilbank_config` parses and checks it.
+//! The compiled form of the operators' catalogue. It is plain data; `basilbank_config` parses and
+//! checks it.
 
 use std::time::Duration;
 
@@ -7,53 +8,54 @@
 /// SHA-256 of a caller's bearer key.
 pub type KeyHash = [u8; 32];
 
-/// One revision of the catalogue. Vectors are sorted by name.
+/// One revision of the catalogue. Its vectors are sorted by name.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Catalogue {
-    /// The platform's revision; it only rises.
+    /// Revision of the catalogue on the platform; it only increases.
     pub revision: u64,
-    /// Who is charged.
+    /// Teams that are charged for use.
     pub teams: Vec<Team>,
-    /// What is promised.
+    /// Classes of service with their latency targets.
     pub classes: Vec<Class>,
-    /// What endpoints serve.
+    /// Models that endpoints serve.
     pub models: Vec<ModelSpec>,
     /// Plain services.
     pub services: Vec<Service>,
-    /// Which team may use what, and how much.
+    /// Entries: which team may use what, and how much of it.
     pub entries: Vec<Entry>,
-    /// Where work runs.
+    /// Endpoints that run the work.
     pub endpoints: Vec<Endpoint>,
-    /// Bytes a second that the weight store gives to all endpoints together; 0 when not limited.
+    /// Bytes per second that the weight store can send to all endpoints together; 0 if it is not
+    /// limited.
     pub weight_rate: u64,
 }
 
-/// A team: it owns entries, and its callers' use is charged to it.
+/// A team: it owns entries and is charged for what its callers use.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Team {
     /// Hash of the name.
     pub id: TeamId,
-    /// The name.
+    /// Name of the team.
     pub name: String,
     /// Hashes of the bearer keys that its callers present.
     pub keys: Vec<KeyHash>,
 }
 
-/// A class of service.
+/// A class of service: latency targets, waiting time and priority.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Class {
     /// Hash of the name.
     pub id: ClassId,
-    /// The name.
+    /// Name of the class.
     pub name: String,
-    /// Target for the time to the first token, or to a plain call's whole answer.
+    /// Target for the time to the first token, or for the time to the whole answer of a plain call.
     pub ttft: Duration,
     /// Target for the time between tokens.
     pub tbt: Duration,
-    /// How long a request may wait for capacity beyond its target before it is refused; zero for a
-    /// class that is refused at once when its target can't be met.
+    /// Time that a request may wait for capacity beyond its target before it is refused. Zero for a
+    /// class whose requests are refused at once when the target can't be met.
     pub max_wait: Duration,
-    /// Higher goes first at the engines.
+    /// Priority at the engines; a higher number goes first.
     pub priority: u8,
 }
 
@@ -62,78 +64,79 @@
 pub struct ModelSpec {
     /// Hash of the name.
     pub id: ModelId,
-    /// The name.
+    /// Name of the model.
     pub name: String,
-    /// The version that endpoints shall serve.
+    /// Version that endpoints must serve.
     pub version: String,
-    /// The adapter that endpoints shall have loaded; empty for none.
+    /// Adapter that endpoints must have loaded; empty for none.
     pub adapter: String,
-    /// Size of the weights in bytes, for the weight store's rate.
+    /// Size of the weights in bytes, to compare with the weight store's rate.
     pub weight_bytes: u64,
-    /// KV cache bytes of one token.
+    /// Bytes of KV cache per token.
     pub token_bytes: u64,
-    /// Tokens of one block of the prefix cache.
+    /// Tokens per block of the prefix cache.
     pub block_tokens: u32,
 }
 
-/// A plain service.
+/// A plain HTTP service.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Service {
     /// Hash of the name.
     pub id: ServiceId,
-    /// The name.
+    /// Name of the service.
     pub name: String,
-    /// Callers' paths that start with this go to the service, for example `/desk/`.
+    /// Prefix of the callers' paths that are routed to the service, for example `/desk/`.
     pub path_prefix: String,
     /// Methods whose calls may be repeated, in upper case.
     pub repeatable_methods: Vec<String>,
 }
 
-/// One entry: a team may use a model or a service, within limits, under a class's promise.
+/// An entry: it lets a team use a model or a service within limits, under the targets of a class.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Entry {
     /// Hash of the name.
     pub id: EntryId,
-    /// The name; for a model's entry it is what callers put into the `model` field.
+    /// Name of the entry; for a model's entry, callers send it in the `model` field.
     pub name: String,
-    /// Who owns it and is charged.
+    /// Team that owns the entry and is charged for its use.
     pub team: TeamId,
-    /// What is promised.
+    /// Class whose targets apply.
     pub class: ClassId,
-    /// What it gives access to.
+    /// Model or service that the entry gives access to.
     pub target: EntryTarget,
-    /// The owner's limits here.
+    /// Limits on the team's use of the entry.
     pub limits: Limits,
 }
 
 /// What an entry gives access to.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum EntryTarget {
-    /// Drafts by a model.
+    /// Completions by a model.
     Model(ModelId),
     /// Calls to a plain service.
     Service(ServiceId),
 }
 
-/// An entry's limits over the whole fleet. Zero means not limited, but for `owed`.
+/// Limits of an entry over all daemons together. Zero means that there is no limit, except for
+/// `owed`.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Prompt and generated tokens a second.
+    /// Prompt tokens and generated tokens per second.
     pub tokens: f64,
     /// Requests in progress.
     pub concurrent: u32,
-    /// Share of the target's capacity that is owed, 0 to 1.
+    /// Fraction of the target's capacity that is guaranteed to the team, from 0 to 1.
     pub owed: f64,
 }
 
-/// What an endpoint does.
+/// The kind of work that an endpoint does.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Role {
-    /// Turns prompts into KV cache.
+    /// Computes the KV cache of prompts.
     Prefill,
-    /// Turns KV cache into tokens.
+    /// Generates tokens from a KV cache.
     Decode,
     /// Answers plain calls.
     Plain,
@@ -144,26 +147,26 @@
 pub struct Endpoint {
     /// Hash of the name.
     pub id: EndpointId,
-    /// The name.
+    /// Name of the endpoint.
     pub name: String,
-    /// `ip:port`.
+    /// Address as `ip:port`.
     pub address: String,
-    /// Where it is.
+    /// Data centre that it is in.
     pub data_centre: DataCentreId,
-    /// What it does.
+    /// Kind of work that it does.
     pub role: Role,
-    /// What it serves.
+    /// Model or service that it serves.
     pub serves: EntryTarget,
-    /// Requests that it can run at once.
+    /// Number of requests that it can run at once.
     pub slots: u32,
-    /// Prompt tokens a second; prefill only.
+    /// Prompt tokens per second; for prefill endpoints only.
     pub prefill_rate: f64,
-    /// Bytes a second on its link.
+    /// Bytes per second of its network link.
     pub link_rate: u64,
-    /// It refuses orders with an old fencing number.
+    /// Whether it refuses orders with an old fencing number.
     pub checks_fencing: bool,
-    /// It takes orders to load a model or to change role.
+    /// Whether it accepts orders to load a model or to change its role.
     pub accepts_orders: bool,
-    /// The operators are taking it away: no new work.
+    /// Whether the operators are removing it; it then gets no new work.
     pub leaving: bool,
 }
--- a/crates/basilbank_core/src/ids.rs
+++ b/crates/basilbank_core/src/ids.rs
@@ -1,9 +1,9 @@
 //! Identifiers.
 //!
-//! Things that daemons must agree on (a VM, an endpoint, a team) are known by a stable 64-bit hash
-//! of their name, the same on every daemon and across revisions. Things of one daemon (a request, an
-//! attempt) are keys into arenas; a key carries a generation, so an answer that comes late finds a
-//! dead key and is dropped.
+//! Things that daemons must agree on (a VM, an endpoint, a team) are identified by a stable 64-bit
+//! hash of their name, which is the same on every daemon and in every revision. Things that belong
+//! to one daemon (a request, an attempt) are identified by keys into arenas. Such a key carries a
+//! generation, so a late answer refers to a key that is no longer valid and is dropped.
 
 use std::fmt;
 
@@ -16,7 +16,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The identifier of a name.
+            /// Returns the identifier of a name.
             #[must_use]
             pub fn of(name: &str) -> $name {
                 $name(xxh3_64(name.as_bytes()))
@@ -38,44 +38,44 @@
 }
 
 name_id!(
-    /// A VM that runs a daemon.
+    /// Identifies a VM that runs a daemon.
     VmId
 );
 name_id!(
-    /// A data centre.
+    /// Identifies a data centre.
     DataCentreId
 );
 name_id!(
-    /// A team.
+    /// Identifies a team.
     TeamId
 );
 name_id!(
-    /// A class of service.
+    /// Identifies a class of service.
     ClassId
 );
 name_id!(
-    /// A catalogue entry.
+    /// Identifies a catalogue entry.
     EntryId
 );
 name_id!(
-    /// A model.
+    /// Identifies a model.
     ModelId
 );
 name_id!(
-    /// A plain service.
+    /// Identifies a plain service.
     ServiceId
 );
 name_id!(
-    /// An endpoint: a prefill or decode runner, or one replica of a plain service.
+    /// Identifies an endpoint: a prefill or decode runner, or one replica of a plain service.
     EndpointId
 );
 name_id!(
-    /// A request, unique across daemons: a hash of VM, incarnation and a counter.
+    /// Identifies a request on all daemons: a hash of VM, incarnation and a counter.
     RequestId
 );
 
 impl RequestId {
-    /// The id of the `counter`th request of one incarnation of a VM.
+    /// Returns the id of the `counter`th request of one incarnation of a VM.
     #[must_use]
     pub fn new(vm: VmId, incarnation: u64, counter: u64) -> RequestId {
         let mut bytes = [0; 24];
@@ -86,13 +86,13 @@
     }
 }
 
-/// A caller's open call, numbered by the shell. Numbers are not used again.
+/// Number that the shell gives to a caller's open call. Numbers are not reused.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
 pub struct CallerId(pub u64);
 
 slotmap::new_key_type! {
-    /// A request in this daemon's arena.
+    /// Key of a request in this daemon's arena.
     pub struct RequestKey;
-    /// One try of a request at an endpoint.
+    /// Key of one attempt to run a request at an endpoint.
     pub struct AttemptKey;
 }
--- a/crates/basilbank_core/src/lib.rs
+++ b/crates/basilbank_core/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of basilbank, without I/O: one reducer over all events, effects as data.
+//! Makes basilbank's routing decisions without I/O: one reducer handles all events and returns
+//! effects as data.
 //!
 //! The caller of this crate owns sockets, threads and clocks. It feeds [`Event`]s to [`reduce`] and
-//! carries out the [`Effect`]s that come back. The same events at the same times always give the
+//! carries out the [`Effect`]s that it returns. The same events at the same times always give the
 //! same effects.
 //!
 //! ```
--- a/crates/basilbank_core/src/reduce/catalogue.rs
+++ b/crates/basilbank_core/src/reduce/catalogue.rs
@@ -1,4 +1,5 @@
-//! The catalogue and the VM list: from the platform or a peer, into force, and on to peers.
+//! Brings the catalogue and the VM list from the platform or a peer into force, and announces them
+//! to peers.
 
 mod check;
 mod freshness;
@@ -22,13 +23,13 @@
     time::Now,
 };
 
-/// Time between two looks at what is due.
+/// Time between two checks for work that is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Least time between two rounds of telling peers of new revisions, so that a burst of changes is
-/// told together.
+/// Minimum time between two announcements of new revisions to peers, so that a burst of changes is
+/// announced once.
 const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reads, fetches, checks and tells what is due.
+/// Reads, fetches, checks and announces whatever is due.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + TICK_INTERVAL, Timer::Platform);
     platform::tick(state, now, out);
@@ -38,7 +39,7 @@
     announce(state, now, out);
 }
 
-/// Takes documents in, from wherever they come.
+/// Applies documents from the platform or a peer to the store.
 fn apply_documents(
     state: &mut State,
     now: Now,
@@ -66,13 +67,13 @@
     }
 }
 
-/// Takes a VM list in, unless one as new is known.
+/// Applies a VM list unless the known one is as new.
 fn apply_vm_list(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
     if list.revision <= state.documents.vms.revision {
         return;
     }
     if list.vms.is_empty() {
-        // A platform that lost its data would otherwise dissolve the fleet.
+        // If the platform has lost its data, an empty list would remove every member of the fleet.
         note(out, "vm_list_empty", vec![("revision", list.revision.to_string())]);
         return;
     }
@@ -86,7 +87,7 @@
     freshness::update(state, now, out);
 }
 
-/// Tells a few peers of new revisions at once; heartbeats tell the rest.
+/// Announces new revisions to a few peers at once; heartbeats bring them to the rest.
 fn announce(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let documents = &mut state.documents;
     if !documents.unreported || now.mono < documents.reported_at + MIN_ANNOUNCE_INTERVAL {
@@ -97,12 +98,12 @@
     member::push(state, now, out);
 }
 
-/// Whether documents that came are known now.
+/// Whether received documents are in the store now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum DocumentsStatus {
-    /// They are, or something newer is not contradicted by them.
+    /// They are, or the store already has their revision.
     Known,
-    /// They were of no use.
+    /// They could not be used.
     Dropped,
 }
 
--- a/crates/basilbank_core/src/reduce/catalogue/check.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/check.rs
@@ -1,4 +1,4 @@
-//! Documents are checked and come into force.
+//! Has documents checked and brings the compiled catalogue into force.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,12 +10,12 @@
     time::Now,
 };
 
-/// Least time between two checks, so that a burst of changes is compiled together.
+/// Minimum time between two checks, so that a burst of changes is compiled once.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// A check that was not answered for this long is asked for again.
+/// Time after which an unanswered check is requested again.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Asks for a check of the newest documents if they were not checked yet.
+/// Requests a check of the newest documents if they have not been checked yet.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let store = &state.documents.store;
     let accepted = &mut state.documents.accepted;
@@ -36,7 +36,7 @@
     out.push(Effect::CheckCatalogue { revision, documents: store.all() });
 }
 
-/// Takes a checked catalogue into force, unless it is older than the one in force.
+/// Brings a checked catalogue into force unless it is older than the one in force.
 pub fn on_checked(
     state: &mut State,
     now: Now,
--- a/crates/basilbank_core/src/reduce/catalogue/freshness.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/freshness.rs
@@ -1,16 +1,18 @@
-//! Whether the catalogue in force may be served.
+//! Decides whether the catalogue in force is fresh enough to serve callers.
 
 use std::time::Duration;
 
 use super::note;
 use crate::{effect::Effect, state::State, time::Now};
 
-/// How long a daemon that has just learnt the VM list waits to hear all the others.
+/// Maximum time that a daemon waits to be in contact with all members after it has received the VM
+/// list.
 const MAX_CONTACT_WAIT: Duration = Duration::from_secs(2);
-/// How long it waits beyond that for a catalogue that peers have shown.
+/// Maximum further time that it waits for a newer catalogue that peers have advertised.
 const MAX_STALE_WAIT: Duration = Duration::from_secs(5);
 
-/// The process slept: others may have gone on.
+/// Stops serving callers after a pause of this process, because a newer catalogue may have come
+/// into force meanwhile.
 pub fn on_pause(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let freshness = &mut state.documents.freshness;
     freshness.is_fresh = false;
@@ -20,7 +22,7 @@
     update(state, now, out);
 }
 
-/// The VM list is known.
+/// Starts the wait for contact with all members. Called when the VM list is known.
 pub fn start_contact_wait(state: &mut State, now: Now) {
     let freshness = &mut state.documents.freshness;
     if freshness.peer_deadline.is_none() {
@@ -28,7 +30,7 @@
     }
 }
 
-/// Judges anew whether callers may be served.
+/// Starts to serve callers once the catalogue in force is fresh enough.
 pub fn update(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let documents = &state.documents;
     let Some(wait_until) = documents.freshness.peer_deadline else { return };
@@ -46,7 +48,7 @@
         return;
     }
     if is_stale {
-        // To refuse everybody for a catalogue that can't be had would help nobody.
+        // Refusing all callers because of a catalogue that can't be fetched would help nobody.
         let pairs = vec![("in_force", in_force.to_string()), ("shown", shown.to_string())];
         note(out, "catalogue_behind", pairs);
     }
--- a/crates/basilbank_core/src/reduce/catalogue/peers.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/peers.rs
@@ -1,4 +1,4 @@
-//! Peers show, ask for and send documents and VM lists.
+//! Exchanges documents and VM lists with peers.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
     time::Now,
 };
 
-/// Without an answer for this long another peer is asked.
+/// Time after which an unanswered fetch is sent to another peer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Whole catalogues that a daemon sends to peers in one second; others ask elsewhere.
+/// Full catalogues that a daemon sends to peers per second; other peers fetch elsewhere.
 const MAX_FULL_TRANSFERS_PER_SECOND: u32 = 4;
 
-/// A peer's heartbeat shows what it has.
+/// Records the revisions that a peer's heartbeat advertises, and fetches newer ones.
 pub fn on_heartbeat(
     state: &mut State,
     now: Now,
@@ -36,13 +36,13 @@
     freshness::update(state, now, out);
 }
 
-/// Asks again for what was not answered.
+/// Repeats fetches that were not answered.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let shown = state.documents.advertised;
     fetch_missing(state, now, &shown, out);
 }
 
-/// A peer asks for documents.
+/// Sends documents that a peer asks for.
 pub fn on_fetch_catalogue(
     state: &mut State,
     now: Now,
@@ -70,7 +70,7 @@
     send(out, from, Body::Catalogue(delta));
 }
 
-/// A peer sent documents.
+/// Applies documents that a peer sent.
 pub fn on_catalogue_delta(
     state: &mut State,
     now: Now,
@@ -100,14 +100,14 @@
     out.push(Effect::CheckCatalogue { revision, documents });
 }
 
-/// A peer asks for the VM list.
+/// Sends the VM list to a peer that asks for it.
 pub fn on_fetch_vms(state: &State, from: VmId, fetch: &FetchVms, out: &mut Vec<Effect>) {
     if fetch.after < state.documents.vms.revision {
         send(out, from, Body::Vms(state.documents.vms.clone()));
     }
 }
 
-/// A peer sent the VM list.
+/// Applies the VM list that a peer sent.
 pub fn on_peer_vms(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
     state.documents.vms_fetch.asked_at = None;
     apply_vm_list(state, now, list, out);
@@ -128,8 +128,9 @@
     send(out, offer.from, Body::FetchVms(FetchVms { after }));
 }
 
-/// Asks for newer documents; when the newest are known and were rejected here, for those that are
-/// in force elsewhere. Two daemons that skipped different revisions of a burst agree by that.
+/// Fetches newer documents. If the newest ones are known and were rejected here, it fetches those
+/// that are in force at a peer. This way two daemons that skipped different revisions of a burst
+/// end up with the same catalogue.
 fn fetch_documents(
     state: &mut State,
     now: Now,
--- a/crates/basilbank_core/src/reduce/catalogue/platform.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/platform.rs
@@ -1,8 +1,9 @@
-//! Who reads the platform, and when.
+//! Decides which daemons read the platform, and when.
 //!
-//! Three live members watch for all; the others hear from them. A daemon that has heard no
-//! confirmation for a while reads by itself, at an interval that grows with the list, so that the
-//! fleet's reads stay the same however large it is, also while the platform is down.
+//! Three live members, the watchers, read for all; the others learn of changes from them. A daemon
+//! that has received no confirmation for a while reads for itself. Its interval grows with the VM
+//! list, so that the reads of the whole fleet stay the same however large it is, also while the
+//! platform is down.
 
 use std::time::Duration;
 
@@ -15,31 +16,32 @@
     time::Now,
 };
 
-/// Members that watch the platform.
+/// Number of members that watch the platform.
 const WATCHER_COUNT: usize = 3;
-/// Hash of what they are chosen for.
+/// Subject that the watchers are ranked by in rendezvous hashing ("watchers" in ASCII).
 const WATCHER_SUBJECT: u64 = 0x7761_7463_6865_7273;
-/// Least time between two reads of a watcher, so that a burst of changes is read together.
+/// Minimum time between two reads of a watcher, so that a burst of changes is read at once.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between a watcher's reads of the VM list.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// A read that was not answered for this long is lost.
+/// Time after which an unanswered read is given up.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time between two tries of a watcher while the platform fails, before jitter. A change
-/// that was published meanwhile is read this much and half as much again after the platform is back.
+/// Maximum time between two attempts of a watcher while the platform fails, before jitter. A change
+/// that is published meanwhile is read at most 1.5 times this after the platform is back.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// First time between two tries while the platform fails.
+/// Time between the first two attempts while the platform fails.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// A fresh daemon asks its peers for this long before it reads the catalogue itself.
+/// Time for which a daemon that has just started asks only its peers before it reads the catalogue
+/// itself.
 const PEERS_ONLY_TIME: Duration = Duration::from_millis(1500);
-/// Without a confirmation for this long, daemons that do not watch read by themselves.
+/// Time without a confirmation after which daemons that are not watchers read for themselves.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time between two such reads of the whole fleet, on average.
+/// Mean time between two such reads over the whole fleet.
 const FLEET_READ_INTERVAL: Duration = Duration::from_millis(100);
-/// Least time between two such reads of one daemon.
+/// Minimum time between two such reads of one daemon.
 const MIN_OWN_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reads what is due.
+/// Starts the reads that are due.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let is_watching = is_watcher(state);
     if state.documents.vms_reader.is_due(now.mono, READ_TIMEOUT)
@@ -61,7 +63,7 @@
     }
 }
 
-/// The platform sent documents, or said that nothing is new.
+/// Handles documents from the platform, or its answer that nothing is new.
 pub fn on_documents(
     state: &mut State,
     now: Now,
@@ -77,13 +79,13 @@
     }
 }
 
-/// The platform did not answer.
+/// Schedules the next attempt after a failed read of the documents.
 pub fn on_documents_failed(state: &mut State, now: Now) {
     let delay = retry_delay(state, state.documents.catalogue_reader.failures);
     state.documents.catalogue_reader.record_failure(now.mono + delay);
 }
 
-/// The platform sent the VM list.
+/// Handles a VM list from the platform.
 pub fn on_platform_vms(
     state: &mut State,
     now: Now,
@@ -97,15 +99,15 @@
     tick(state, now, out);
 }
 
-/// The platform did not send the VM list.
+/// Schedules the next attempt after a failed read of the VM list.
 pub fn on_vms_failed(state: &mut State, now: Now) {
     let delay = retry_delay(state, state.documents.vms_reader.failures);
     state.documents.vms_reader.record_failure(now.mono + delay);
 }
 
-/// Whether this daemon watches the platform: it is among the live members that rank highest for it,
-/// in as many data centres as there are. One that the lagging list does not have yet watches too, for
-/// its peers tell it nothing.
+/// Returns whether this daemon watches the platform. The watchers are the live members that rank
+/// highest for it, in as many data centres as possible. A daemon that is not on the VM list yet,
+/// because the list lags behind, watches as well, since its peers send it nothing.
 fn is_watcher(state: &State) -> bool {
     let members = &state.members;
     if members.own_status.has_list && !members.all.contains_key(&members.own) {
@@ -139,14 +141,14 @@
     CONFIRMATION_TIMEOUT < now.mono.saturating_sub(since)
 }
 
-/// The jittered time between two reads of a daemon that does not watch.
+/// Returns the jittered time between two reads of a daemon that is not a watcher.
 fn own_read_interval(state: &mut State) -> Duration {
     let members = u32::try_from(state.members.listed().len()).unwrap_or(u32::MAX);
     let interval = (FLEET_READ_INTERVAL * members).max(MIN_OWN_READ_INTERVAL);
     interval.mul_f64(0.5 + state.rng.unit())
 }
 
-/// The jittered time until a failed read is tried again.
+/// Returns the jittered time until a failed read is repeated.
 fn retry_delay(state: &mut State, failures: u32) -> Duration {
     if state.members.own_status.has_list && !is_watcher(state) {
         return own_read_interval(state);
--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -1,4 +1,5 @@
-//! At most one run for an idempotency key: the side of the daemon that wants to run a request.
+//! Ensures that at most one request runs per idempotency key: the side of the daemon that wants to
+//! run a request.
 
 mod takeover;
 mod vote;
@@ -20,19 +21,21 @@
     time::Now,
 };
 
-/// Times that a voter is asked before a claim is given up.
+/// Number of times that a voter is asked before a claim is given up.
 const MAX_VOTE_REQUESTS: u32 = 4;
-/// Times that a voter is told something before it is left to find out by expiry.
+/// Number of times that a record is sent to a voter that does not confirm it. After that the key
+/// expires at the voter.
 const MAX_RECORD_SENDS: u32 = 5;
-/// Each wait for a voter's confirmation is this many times the one before.
+/// Factor by which the wait for a voter's confirmation grows with each send.
 const SEND_BACKOFF_FACTOR: u32 = 4;
-/// When a caller should come back whose key the voters can't tell from a repeat.
+/// `Retry-After` of a call for whose key the voters can't tell whether an earlier request claimed
+/// it.
 const UNDECIDED_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// A running request's key is renewed this many times in a key window.
+/// Number of times per key window that the key of a running request is renewed.
 const RENEWALS_PER_WINDOW: u32 = 4;
 
-/// Claims an accepted request's key. The request waits; `admit::claimed`, `admit::joined` or
-/// `settle::refuse` follows, perhaps at once.
+/// Claims an accepted request's key. The request waits until `admit::on_key_claimed`,
+/// `admit::join_stream` or `settle::refuse` is called, which may happen before this returns.
 pub fn begin(state: &mut State, now: Now, key: RequestKey, out: &mut Vec<Effect>) {
     let Some(request) = state.requests.arena.get(key) else { return };
     let Some(text) = &request.idempotency_key else { return };
@@ -65,7 +68,7 @@
     evaluate_votes(state, now, id, VoteWait::Pending, out);
 }
 
-/// A voter answered.
+/// Handles a voter's answer.
 pub fn on_vote(state: &mut State, now: Now, from: VmId, vote: &Vote, out: &mut Vec<Effect>) {
     let id = RequestId(vote.request);
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
@@ -83,9 +86,10 @@
         return;
     }
     claim.record_vote(from, vote.verdict(), vote.record.clone());
-    // A process that was paused finds votes in its socket that are older than the claim's time
-    // limit. By then voters that came up in between may have begun to grant the key to others, so
-    // such votes no longer add up: the claim ends as it would have without the pause.
+    // A process that was paused finds votes in its socket that arrived after the claim's deadline.
+    // By then, voters that have started in between may have begun to grant the key to others, so
+    // these votes no longer add up to a majority. The claim ends as it would have ended without the
+    // pause.
     if claim.deadline <= now.mono {
         give_up(state, now, id, out);
         return;
@@ -93,7 +97,8 @@
     evaluate_votes(state, now, id, VoteWait::Pending, out);
 }
 
-/// Votes or confirmations did not come in time, or there is something to tell the voters.
+/// Handles the claim's timer: votes or confirmations are overdue, or the voters must be sent a new
+/// record.
 pub fn on_timer(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if now.mono < claim.resend_at {
@@ -119,7 +124,8 @@
     }
 }
 
-/// A request's stream has a place now: its voters should know, so that a repeat can join it.
+/// Publishes to the voters where a request's stream is, so that a repeat of the request can join
+/// it.
 pub fn publish_stream(state: &mut State, key: RequestKey) {
     let Some(request) = state.requests.arena.get(key) else { return };
     let Some((endpoint, stream)) = state.requests.stream(key) else { return };
@@ -127,8 +133,9 @@
     if claim.phase != ClaimPhase::Held {
         return;
     }
-    // A stream that continues another one lacks the answer's beginning. A repeat that joined it would
-    // take its first token for the answer's first: a text that starts in the middle of a sentence.
+    // A stream that continues another one lacks the beginning of the answer. A repeat that joined
+    // it would take its first token for the first one of the answer, and its caller would get a
+    // text that starts in the middle of a sentence.
     let is_whole =
         state.requests.current_attempt(key).is_some_and(|(_, attempt)| attempt.base_offset == 0);
     claim.record.endpoint = if is_whole { endpoint.0 } else { 0 };
@@ -137,19 +144,19 @@
     publish_record(state, id);
 }
 
-/// A request's stream is read on by another one with the same key. The voters keep what they know, so
-/// that a later repeat still finds the stream.
+/// Forgets the claim of a request whose stream is now read by another request with the same key.
+/// The voters keep their record, so that a later repeat still finds the stream.
 pub fn forget_handed_over(state: &mut State, key: RequestKey) {
     if let Some(request) = state.requests.arena.get(key) {
         state.claims.own.remove(&request.id);
     }
 }
 
-/// A request ended: its voters should know.
+/// Publishes the outcome of a request to its voters.
 ///
-/// A request of which nothing was run gives its key back, so that the caller's retry can run. So does
-/// a repeatable one whose caller left before the end: the caller that comes again with the same key
-/// has not had its answer.
+/// A request for which nothing was run gives its key back, so that the caller's retry can run. So
+/// does a repeatable request whose caller left before the end: a caller that returns with the same
+/// key has not received its answer.
 pub fn on_ended(state: &mut State, request: &Request, outcome: Outcome) {
     let is_sent = state.claims.own.get(&request.id).is_some_and(|claim| claim.is_sent);
     let releases_key = outcome == Outcome::Abandoned && (!is_sent || request.repeatable);
@@ -157,13 +164,13 @@
     publish_outcome(state, request.id, outcome);
 }
 
-/// Refuses requests that won their key so long ago that voters may forget it before they hear that
+/// Refuses requests that won their key so long ago that voters may forget it before they learn that
 /// the request was sent.
 ///
-/// A process that is paused after it won a key, and wakes up when the key window is over, would send
-/// a request that a repeat may have run in the meantime. The symptom is one order placed twice, with
-/// the first daemon's log silent in between. Called before each event, as any event may lead to
-/// sending.
+/// A process that is paused after it won a key, and resumes when the key window is over, would send
+/// a request that a repeat may have run in the meantime. The symptom is one order placed twice,
+/// while the log of the first daemon has a gap in between. This is called before each event,
+/// because any event may lead to sending.
 pub fn refuse_expired(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     while let Some(&(at, id)) = state.claims.send_deadlines.front() {
         if now.mono < at {
@@ -178,7 +185,7 @@
     }
 }
 
-/// Remembers the claims whose requests were sent somewhere by the effects of one event.
+/// Records for which claims the effects of one event sent a request to an endpoint.
 pub fn record_sent(state: &mut State, effects: &[Effect]) {
     if state.claims.own.is_empty() {
         return;
@@ -196,7 +203,7 @@
     }
 }
 
-/// Asks voters for the key. Live ones go first, and this daemon itself before all others.
+/// Asks voters for the key: first this daemon itself, then live members, then the others.
 fn request_votes(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase != ClaimPhase::Asking {
@@ -226,7 +233,7 @@
     schedule(state, now, id, state.local.tuning.peer_timeout);
 }
 
-/// Acts on the votes so far.
+/// Acts on the votes received so far.
 fn evaluate_votes(
     state: &mut State,
     now: Now,
@@ -263,7 +270,7 @@
     }
 }
 
-/// The votes did not come in time.
+/// Ends a claim whose votes did not arrive in time.
 fn give_up(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get(&id) else { return };
     let key = claim.request;
@@ -284,7 +291,8 @@
     }
 }
 
-/// Another request has the key, or nobody can tell: answer without a run.
+/// Answers a call without running it, because another request has the key or the voters can't tell
+/// whether one has.
 fn answer_repeat(
     state: &mut State,
     now: Now,
@@ -320,7 +328,7 @@
     }
 }
 
-/// A request ended: the voters are told until they confirm it.
+/// Records a request's outcome, which is sent to the voters until they confirm it.
 fn publish_outcome(state: &mut State, id: RequestId, outcome: Outcome) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     if claim.phase == ClaimPhase::Ending {
@@ -331,8 +339,8 @@
     publish_record(state, id);
 }
 
-/// Has the voters told what changed: the timer fires within the same event, and there the time is
-/// known.
+/// Makes the changed record due to be sent. The timer fires within the same event, where the
+/// current time is known.
 fn publish_record(state: &mut State, id: RequestId) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     claim.reset_acks();
@@ -361,7 +369,7 @@
     forget_if_confirmed(state, id);
 }
 
-/// Sets when to ask or tell again.
+/// Schedules the next vote requests or the next send of the record.
 fn schedule(state: &mut State, now: Now, id: RequestId, delay: Duration) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
     claim.resend_at = now.mono + delay;
--- a/crates/basilbank_core/src/reduce/claim/takeover.rs
+++ b/crates/basilbank_core/src/reduce/claim/takeover.rs
@@ -1,4 +1,5 @@
-//! A repeat of a repeatable request waits for the first one, and follows it when its daemon is gone.
+//! Lets a repeat of a repeatable request wait for the earlier request, and take over its key when
+//! the earlier daemon is gone.
 
 use std::time::Duration;
 
@@ -11,16 +12,17 @@
     time::Now,
 };
 
-/// Time between two questions for a key that another request has.
+/// Time between two vote requests for a key that another request has.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Whether a claim that is lost to another request goes on all the same; the voters are asked again
-/// then.
+/// Reopens a claim that is lost to another request, if it is worth waiting for the key; the voters
+/// are then asked again. Returns whether it did.
 ///
-/// A daemon that dies before its draft has a stream leaves a key that is taken and nothing to join.
-/// Its caller comes again with the same key, and would be refused until the key window is over: a
-/// draft that is lost for ten minutes. So the repeat waits as long as its class may wait. Either the
-/// stream shows up, or the daemon turns out to be gone; what may run twice is then run anew.
+/// A daemon that dies before its completion has a stream leaves a key that is taken and no stream
+/// to join. The caller that repeats the call with this key would be refused until the key window is
+/// over, so its completion would be lost for ten minutes. Therefore the repeat waits as long as its
+/// class allows. Either the stream appears, or the daemon turns out to be gone; then the repeat
+/// runs, as both requests are repeatable.
 pub fn reopen_claim(
     state: &mut State,
     now: Now,
@@ -48,8 +50,8 @@
     true
 }
 
-/// Whether the process that accepted a request is gone: its VM is not heard any more, or runs a later
-/// process.
+/// Returns whether the process that accepted a request is gone: its VM is no longer in contact, or
+/// runs a later process.
 fn is_gone(state: &State, record: &KeyRecord) -> bool {
     let vm = VmId(record.vm);
     if vm == state.local.vm {
--- a/crates/basilbank_core/src/reduce/claim/vote.rs
+++ b/crates/basilbank_core/src/reduce/claim/vote.rs
@@ -1,4 +1,4 @@
-//! At most one run for an idempotency key: the voter's side.
+//! Ensures that at most one request runs per idempotency key: the voter's side.
 
 use std::time::Duration;
 
@@ -12,13 +12,14 @@
     time::Now,
 };
 
-/// A peer claims a key at this daemon.
+/// Answers a peer that claims a key.
 pub fn on_claim(state: &mut State, now: Now, from: VmId, claim: &Claim, out: &mut Vec<Effect>) {
     let vote = cast(state, now, from, claim, out);
     out.push(Effect::Send { to: from, message: Body::Vote(vote).into() });
 }
 
-/// A peer tells where a key's request runs or how it ended. The vote that goes back confirms it.
+/// Handles a peer's record of where a key's request runs or how it ended. The vote that is sent
+/// back confirms it.
 pub fn on_settle(state: &mut State, now: Now, from: VmId, settle: &Settle, out: &mut Vec<Effect>) {
     let Some(record) = &settle.record else { return };
     state.claims.key_table.expire(now.mono);
@@ -32,13 +33,13 @@
     out.push(Effect::Send { to: from, message: Body::Vote(vote).into() });
 }
 
-/// The platform's list may have changed, and with it the keys that this daemon votes on.
+/// Updates for which keys this daemon is a voter, after the platform's VM list may have changed.
 pub fn update_tenure(state: &mut State, now: Now) {
     let window = state.local.tuning.key_window;
     state.claims.voter_history.update(now, window, &state.members);
 }
 
-/// This daemon's vote on a claim by `from`. A key that is granted is remembered.
+/// Decides this daemon's vote on a claim by `from`, and remembers the key if it is granted.
 pub fn cast(state: &mut State, now: Now, from: VmId, claim: &Claim, out: &mut Vec<Effect>) -> Vote {
     state.claims.key_table.expire(now.mono);
     let (verdict, record) = match ClaimKey::from_bytes(&claim.key) {
@@ -48,10 +49,11 @@
     Vote { key: claim.key.clone(), request: claim.request, verdict: verdict.into(), record }
 }
 
-/// Notes what became of a key's request.
+/// Applies a record of what became of a key's request.
 ///
-/// Only a request that won its key says anything but 'not run', so what it says goes before a grant
-/// to another. A record that has ended is not opened again by news that was overtaken on the way.
+/// Only a request that won its key reports anything other than 'not run', so its record replaces a
+/// grant to another request. A record of a request that has ended is not replaced by an earlier one
+/// that was delayed on the way.
 pub fn apply_settle(state: &mut State, now: Now, settle: &Settle) {
     let Some(key) = ClaimKey::from_bytes(&settle.key) else { return };
     let Some(record) = &settle.record else { return };
@@ -108,18 +110,18 @@
     (Verdict::Granted, None)
 }
 
-/// Whether a claim's request may take the key over from the one that has it.
+/// Returns whether a claim's request may take over the key from the request that has it.
 fn may_take_over(claim: &Claim, record: &KeyRecord) -> bool {
     let is_named = claim.after != 0 && claim.after == record.request;
     is_named && record.outcome == 0 && record.repeatable && claim.repeatable
 }
 
-/// Whether this daemon would remember the key if an earlier request had claimed it.
+/// Returns whether this daemon would remember the key if an earlier request had claimed it.
 ///
-/// It does when it has been a voter of the key for the whole window. A younger one does when the key
-/// was made after it became a voter; and no voter does when the key was made before the window, as
-/// its first request may have come and been forgotten. A key from the future has a wrong clock
-/// behind it, so its time says nothing.
+/// This is so if the daemon has been a voter of the key for the whole key window, or if the key was
+/// created after it became a voter. No voter remembers a key that was created before the key
+/// window: its first request may have come and been forgotten. A key with a creation time in the
+/// future comes from a wrong clock, so its time is ignored.
 fn would_remember(state: &State, now: Now, key: ClaimKey, made: u64) -> bool {
     let Some(since) = state.claims.voter_history.voter_since(state.local.vm, key.subject()) else {
         return false;
--- a/crates/basilbank_core/src/reduce/limit.rs
+++ b/crates/basilbank_core/src/reduce/limit.rs
@@ -1,9 +1,10 @@
-//! Entries' limits, over all daemons.
+//! Enforces entries' limits over all daemons.
 //!
-//! A daemon whose callers use an entry often leases part of its limits from the entry's steward. One
-//! whose callers use it now and then takes what they want and tells the steward of each call; when
-//! the limit is used up the steward refuses, and calls of which nothing was sent yet are refused.
-//! A daemon that can't reach a steward stays within the limit over the number of listed VMs.
+//! A daemon whose callers use an entry often leases a share of its limits from the entry's owner. A
+//! daemon whose callers use it rarely takes what they want and reports each call to the owner. When
+//! the limit is used up the owner refuses, and the calls that were not sent to an endpoint yet are
+//! refused. A daemon that can't reach an owner stays within the limit divided by the number of
+//! listed VMs.
 
 mod holder;
 mod owner;
@@ -23,10 +24,11 @@
     time::Now,
 };
 
-/// Takes one request with its prompt and most generated tokens from an entry's limits.
+/// Takes one request, with its prompt and its maximum number of generated tokens, from an entry's
+/// limits.
 ///
 /// # Errors
-/// The limit that is used up; nothing is taken then.
+/// Returns the limit that is used up. Nothing is taken in that case.
 pub fn take(
     state: &mut State,
     now: Now,
@@ -70,7 +72,7 @@
     Ok(())
 }
 
-/// Gives back what an ended request took but did not use.
+/// Gives back the tokens that an ended request took but did not use.
 pub fn give_back(state: &mut State, now: Now, entry: EntryId, unused: u32) {
     if let Some(usage) = state.limits.usages.get_mut(&entry) {
         usage.give_back(unused);
@@ -78,7 +80,7 @@
     }
 }
 
-/// A daemon asks this one, as an entry's steward, for part of the limit.
+/// Answers a daemon that asks this one, the entry's owner, for a share of the limits.
 pub fn on_ask_limit(
     state: &mut State,
     now: Now,
@@ -92,7 +94,8 @@
     }
 }
 
-/// An entry's steward leases part of the limit to this daemon, or refuses what it took without.
+/// Handles the answer of an entry's owner: a lease, or a refusal of calls that were taken without
+/// one.
 pub fn on_lease(
     state: &mut State,
     now: Now,
@@ -110,7 +113,7 @@
     }
 }
 
-/// Takes a steward's answer over, and gives the refusal that it may be.
+/// Applies an owner's answer, and returns the refusal if it is one.
 fn apply_lease(state: &mut State, now: Now, lease: &LimitLease) -> Option<Refusal> {
     let chance = state.rng.unit();
     let usage = state.limits.usages.get_mut(&EntryId(lease.entry))?;
@@ -139,8 +142,8 @@
     Some(refusal)
 }
 
-/// The steward refuses calls that were taken on trust: those of which nothing was sent yet are
-/// refused, the others run and are owed.
+/// Handles the owner's refusal of calls that were taken without a lease. Those that were not sent
+/// to an endpoint yet are refused; the others run and are counted as overdraft.
 fn refuse_unsent(
     state: &mut State,
     now: Now,
@@ -176,20 +179,20 @@
     }
 }
 
-/// An entry's limits, if it has any.
+/// Returns an entry's limits, if it has any.
 fn limits(state: &State, entry: EntryId) -> Option<Limits> {
     let limits = state.view.entry(entry)?.limits;
     let is_limited = 0.0 < limits.requests || 0.0 < limits.tokens || 0 < limits.concurrent;
     is_limited.then_some(limits)
 }
 
-/// This daemon's part of an entry's limits when nobody can be asked.
+/// Returns the share of an entry's limits that this daemon may use when it can't reach an owner.
 fn own_share(state: &State, limits: &Limits) -> LimitShare {
     let listed = state.members.listed().len().max(1);
     LimitShare::fraction(limits, 1.0 / listed as f64)
 }
 
-/// Whether there is a steward who would refuse if the limit were used up.
+/// Returns whether the entry has an owner that would refuse if the limit were used up.
 fn can_report(state: &State, entry: EntryId) -> bool {
     let presence = &state.members.own_status;
     presence.has_list
--- a/crates/basilbank_core/src/reduce/limit/holder.rs
+++ b/crates/basilbank_core/src/reduce/limit/holder.rs
@@ -1,4 +1,4 @@
-//! What an entry's steward is asked and told, and when.
+//! Decides when to ask an entry's owner for a lease, and what to report to it.
 
 use std::time::Duration;
 
@@ -14,25 +14,26 @@
     time::Now,
 };
 
-/// Time between two looks at what is due.
+/// Time between two checks for reports that are due.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// A lease is renewed when it has this long to go.
+/// Remaining time of a lease from which it is renewed.
 const RENEWAL_MARGIN: Duration = Duration::from_secs(1);
-/// A daemon without a lease asks again after this.
+/// Minimum time between two requests for a lease.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
-/// A daemon whose lease is nearly used up asks for more after this.
+/// Minimum time between two requests for more when a lease is nearly used up.
 const MIN_EXTENSION_INTERVAL: Duration = Duration::from_millis(100);
-/// One whose lease is a ration asks after this: nobody has more to give.
+/// Minimum time between two requests for more when the lease is a ration, since there is no more to
+/// give.
 const MIN_RATION_EXTENSION_INTERVAL: Duration = Duration::from_secs(2);
-/// Requests in progress without a lease are told again after this, so that a new steward learns of
+/// Time between two reports of requests in progress without a lease, so that a new owner learns of
 /// them.
 const RUNNING_REPORT_INTERVAL: Duration = Duration::from_secs(10);
-/// A lease is renewed if calls came within this time.
+/// A lease is renewed only if calls arrived within this time.
 const RECENT_USE_PERIOD: Duration = Duration::from_secs(10);
-/// An entry that was not used for this long is forgotten.
+/// Time after which an unused entry is forgotten.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Renews leases, tells what is untold, and forgets what is idle.
+/// Renews leases, sends what is unreported, and forgets entries that are idle.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + TICK_INTERVAL, Timer::Limits);
     owner::forget_idle(state, now);
@@ -51,7 +52,7 @@
     }
 }
 
-/// Asks before a call is taken: for the first lease, when calls begin to come often.
+/// Asks for the first lease before a call is taken, when calls begin to arrive often.
 pub fn request_first_lease(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
     let Some(usage) = state.limits.usages.get(&entry) else { return };
     let is_own = state.members.owner(entry.0) == Some(state.local.vm);
@@ -61,7 +62,7 @@
     }
 }
 
-/// Asks for more, unless that was done a moment ago.
+/// Asks for more, unless it was asked for a moment ago.
 pub fn request_more(state: &mut State, now: Now, entry: EntryId, out: &mut Vec<Effect>) {
     let Some(usage) = state.limits.usages.get(&entry) else { return };
     let interval =
@@ -71,10 +72,11 @@
     }
 }
 
-/// Tells the steward of a call that was taken without a lease.
+/// Reports a call that was taken without a lease to the owner.
 ///
 /// # Errors
-/// This daemon is the steward, and the limit is used up; the call is given back.
+/// Returns the limit that is used up, if this daemon is the owner. The call is not counted as
+/// running then.
 pub fn report_taken(
     state: &mut State,
     now: Now,
@@ -109,7 +111,8 @@
     last_request.is_none_or(|(_, at)| at + interval <= now.mono)
 }
 
-/// Asks and tells; gives the refusal when this daemon is the steward itself.
+/// Sends a report, which also asks for a lease if one is wanted. Returns the refusal if this daemon
+/// is the owner itself.
 fn send_report(
     state: &mut State,
     now: Now,
--- a/crates/basilbank_core/src/reduce/limit/owner.rs
+++ b/crates/basilbank_core/src/reduce/limit/owner.rs
@@ -1,4 +1,4 @@
-//! An entry's steward shares its limits out.
+//! Distributes an entry's limits among daemons: the owner's side.
 
 use std::time::Duration;
 
@@ -13,27 +13,28 @@
     time::Now,
 };
 
-/// Length of a lease.
+/// Duration of a lease.
 const LEASE_TTL: Duration = Duration::from_secs(2);
-/// Length of a lease that is less than its holder's part: others' leases shrink meanwhile.
+/// Duration of a lease that is smaller than its holder's fair share; other leases shrink meanwhile.
 const SHORT_LEASE_TTL: Duration = Duration::from_millis(500);
-/// The steward counts a lease for this much longer than its holder, who hears of it later.
+/// Time that the owner counts a lease beyond its duration, because the holder receives it later.
 const LEASE_GRACE: Duration = Duration::from_millis(100);
-/// For this long after the live members changed, another daemon may still lease as steward.
+/// Time after a change of the live members in which another daemon may still grant leases as owner.
 const TAKEOVER_CAUTION: Duration = Duration::from_secs(5);
-/// Calls a second of a daemon that does not say.
+/// Calls per second assumed for a daemon that reports no demand.
 const RARE_CALLS_PER_SECOND: f64 = 0.1;
-/// For this long a daemon may take frequent calls on trust. Each is told, so a steward that has to
-/// stop it can, and one that is gone is no steward any more.
+/// Time for which a daemon may take frequent calls without a lease. Each call is reported, so an
+/// owner that has to stop the daemon can do so, and an owner that is gone is no longer the owner.
 const TRUST_TTL: Duration = Duration::from_secs(30);
-/// Length of a ration: long enough for a rare call to come.
+/// Duration of a ration: long enough for a rare call to arrive.
 const RATION_TTL: Duration = Duration::from_secs(10);
-/// Length of a ration for a daemon that has not said how much it wants.
+/// Duration of a ration for a daemon that has reported no demand.
 const UNKNOWN_DEMAND_TTL: Duration = Duration::from_secs(3);
-/// Length of a ration when requests in progress are short: what it allows is soon another's.
+/// Duration of a ration when requests in progress are short, because the free ones soon belong to
+/// another daemon.
 const CONCURRENCY_TTL: Duration = Duration::from_secs(1);
 
-/// Takes a report in, and gives the lease or refusal that answers it, if one is due.
+/// Handles a daemon's report. Returns the lease or refusal that answers it, if an answer is needed.
 pub fn answer_report(
     state: &mut State,
     now: Now,
@@ -70,7 +71,7 @@
     answer_without_lease(shared, &terms, ask, taken)
 }
 
-/// The answer that carries a lease.
+/// Returns the answer that carries a lease.
 fn lease_answer(
     shared: &SharedLimit,
     terms: &LeaseTerms<'_>,
@@ -84,8 +85,9 @@
     answer(entry, share, ttl, kind)
 }
 
-/// The answer to a daemon for which no lease is worth it: trust while there is enough, a ration when
-/// there is not, nothing when it did not ask and all is well.
+/// Returns the answer to a daemon that gets no lease because it would be too small: trust while
+/// there is enough, a ration when there is not, and no answer when the daemon asked for nothing and
+/// the limits are not used up.
 fn answer_without_lease(
     shared: &mut SharedLimit,
     terms: &LeaseTerms<'_>,
@@ -122,20 +124,21 @@
     lease
 }
 
-/// Forgets entries that nobody uses any more.
+/// Forgets entries that no daemon uses any more.
 pub fn forget_idle(state: &mut State, now: Now) {
     state.limits.shared.retain(|_, shared| !shared.is_idle(now.mono));
 }
 
-/// The demand of a daemon whose calls are rare: about as many as one for which it would ask for a
-/// lease.
+/// Returns the assumed demand of a daemon whose calls are rare: about the rate from which a daemon
+/// asks for a lease.
 fn rare_demand(ask: &AskLimit) -> LimitDemand {
     let tokens = ask.taken_tokens.max(0) as f64 * RARE_CALLS_PER_SECOND;
     LimitDemand { requests: RARE_CALLS_PER_SECOND, tokens, concurrent: ask.running + 1 }
 }
 
-/// What a steward leases while another may still do so: what the asker has anyway, or its part by
-/// the length of the list. Without this, whatever the former steward leased would come on top.
+/// Returns the most that an owner leases while its predecessor may still grant leases: what the
+/// daemon already holds, or the limit divided by the number of listed VMs. Without this bound,
+/// whatever the former owner leased would be granted a second time.
 fn cautious_share(ask: &AskLimit, per_vm: &LimitShare) -> LimitShare {
     LimitShare {
         requests: per_vm.requests.max(ask.held as f64 / 1000.0),
@@ -144,8 +147,8 @@
     }
 }
 
-/// The limits by the share of the listed members that are heard: in a partition each side has its
-/// part, so that both together have no more than the whole.
+/// Returns the limits multiplied by the fraction of listed members that are in contact. In a
+/// partition each side has its fraction, so both together use no more than the limits.
 fn reachable_limits(state: &State, limits: &Limits) -> Limits {
     let census = state.members.count_members(|m| m.live);
     if census.in_contact == census.total {
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -1,4 +1,4 @@
-//! Who is alive: heartbeats, pauses, isolation.
+//! Tracks which members are alive: heartbeats, pauses of this process, and isolation.
 
 mod gossip;
 mod summary;
@@ -16,12 +16,12 @@
     time::Now,
 };
 
-/// After a pause, news counts from this many heartbeats on: packets that arrived during the pause
-/// and waited in the socket are read within less.
+/// Heartbeat intervals after a pause from which messages count. Packets that arrived during the
+/// pause and waited in the socket are read within less time.
 const SETTLE_HEARTBEATS: u32 = 2;
 
-/// Looks for a pause of this process; comes before each event, since the first thing that a process
-/// reads after a pause may be a request for a slot that is another steward's by now.
+/// Detects a pause of this process. This is called before each event, because the first event that
+/// a process reads after a pause may be a request for a slot that another daemon owns by now.
 pub fn detect_pause(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let gap = now.mono.saturating_sub(state.members.own_status.last_event);
     state.members.own_status.last_event = now.mono;
@@ -39,8 +39,8 @@
     catalogue::on_pause(state, now, out);
 }
 
-/// Takes in that a message came from a peer, and says whether it is current. A message of an
-/// incarnation that was followed by another is from a process that is gone.
+/// Records that a message came from a peer, and returns whether it is current. A message of an
+/// incarnation that was followed by another one comes from a process that is gone.
 pub fn accept_sender(
     state: &mut State,
     now: Now,
@@ -61,7 +61,7 @@
     true
 }
 
-/// A peer's heartbeat.
+/// Handles a peer's heartbeat.
 pub fn on_heartbeat(
     state: &mut State,
     now: Now,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Sends heartbeats, and looks for dead members.
+/// Sends heartbeats and looks for dead members.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + state.local.tuning.heartbeat, Timer::Heartbeat);
     let epoch = state.members.epoch;
@@ -106,7 +106,7 @@
     gossip::send_heartbeats(state, now, out);
 }
 
-/// The VM list changed.
+/// Handles a change of the VM list.
 pub fn on_vm_list(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     claim::update_tenure(state, now);
     update_may_decide(state, now, out);
@@ -114,7 +114,7 @@
     push(state, now, out);
 }
 
-/// This daemon is shutting down: it gives its stewardships up and says so at once.
+/// Gives up what this daemon owns because it is shutting down, and announces it at once.
 pub fn announce_leaving(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     if let Some(own) = state.members.all.get_mut(&state.local.vm) {
         own.announced_leaving = true;
@@ -125,7 +125,7 @@
     push(state, now, out);
 }
 
-/// A peer tells what it knows of a member that it has heard of lately.
+/// Applies a peer's record of a member that the peer has been in contact with.
 fn apply_record(state: &mut State, now: Now, seen: &Seen, out: &mut Vec<Effect>) {
     let vm = VmId(seen.vm);
     if vm == state.local.vm {
@@ -153,7 +153,7 @@
     }
 }
 
-/// There is news of a member, of an incarnation that is current.
+/// Records that a member of a current incarnation was alive at `last_seen`.
 fn record_contact(
     state: &mut State,
     last_seen: Duration,
@@ -209,7 +209,7 @@
     }
 }
 
-/// Passes on that the live members changed, if they did.
+/// Updates what depends on the live members if they changed.
 fn propagate_changes(state: &mut State, epoch: u64, now: Now, out: &mut Vec<Effect>) {
     if state.members.epoch == epoch {
         return;
@@ -218,7 +218,7 @@
     update_may_decide(state, now, out);
 }
 
-/// Judges anew whether this daemon may decide.
+/// Updates whether this daemon may decide for others.
 fn update_may_decide(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let could_decide = state.members.may_decide();
     if let Some(from) = state.members.own_status.rejoining_since {
@@ -244,8 +244,9 @@
     }
 }
 
-/// Peers know a higher incarnation of this VM: another process has its name, or the VM's clock went
-/// back across a restart. Peers drop all that this daemon says; only an operator can mend it.
+/// Reports that peers know a higher incarnation of this VM: another process has its name, or the
+/// VM's clock went back across a restart. Peers drop all messages of this daemon; only an operator
+/// can repair it.
 fn check_superseded(state: &State, seen: &Seen, out: &mut Vec<Effect>) {
     if state.local.incarnation < seen.incarnation {
         note(out, "incarnation_superseded", vec![("incarnation", seen.incarnation.to_string())]);
--- a/crates/basilbank_core/src/reduce/member/gossip.rs
+++ b/crates/basilbank_core/src/reduce/member/gossip.rs
@@ -1,4 +1,4 @@
-//! To whom heartbeats go, and what they carry.
+//! Chooses the targets of heartbeats and builds their contents.
 
 use std::time::Duration;
 
@@ -12,27 +12,30 @@
     time::Now,
 };
 
-/// Peers that hear of something new at once.
+/// Number of peers that new information is sent to at once.
 const PUSH_FAN_OUT: usize = 3;
-/// Bytes that members' news may take in one heartbeat. With the other fields, the packet's header and
-/// its seal that makes a datagram of less than 1,200 bytes, which passes all paths whole.
+/// Maximum bytes of member records and summaries in one heartbeat. With the other fields, the
+/// packet headers and the MAC, the datagram stays below 1,200 bytes, which passes all paths without
+/// fragmentation.
 const MAX_MEMBER_BYTES: usize = 1080;
-/// Most bytes of one full record.
+/// Maximum bytes of one full record.
 const MAX_RECORD_BYTES: usize = 31;
-/// Silence, as a share of the time after which a member counts as dead, from which heartbeats rather
-/// go to others. In a fleet of 320 one in a thousand is silent for so long by chance.
+/// Silence, as a fraction of the time after which a member counts as dead, from which heartbeats go
+/// to other members instead. In a fleet of 320, one member in a thousand is silent for that long by
+/// chance.
 const RECENTLY_SEEN_FRACTION: f64 = 0.6;
-/// Random choices until one is fresh.
+/// Random choices of a target until one was seen recently.
 const MAX_TARGET_TRIES: usize = 8;
-/// Full records in one heartbeat. More of them would crowd a large fleet's beats out of the datagrams.
+/// Maximum full records in one heartbeat. More of them would leave no space for the summaries of a
+/// large fleet.
 const MAX_RECORDS: usize = 8;
-/// Least time between two questions for all records, which may take ten datagrams to answer.
+/// Minimum time between two requests for all records, because an answer may take ten datagrams.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// One of this many heartbeats goes to a member that is not live, if there is one, so that two sides
-/// of a partition find each other again.
+/// One in this many heartbeats goes to a member that is not live, if there is one, so that both
+/// sides of a partition find each other again.
 const DEAD_TARGET_PERIOD: u64 = 8;
 
-/// Sends this round's heartbeats.
+/// Sends the heartbeats of this round.
 pub fn send_heartbeats(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.members.heartbeat_counter += 1;
     for k in 0..state.local.tuning.fan_out {
@@ -41,7 +44,7 @@
     }
 }
 
-/// Tells a few live members at once that something is new here.
+/// Sends heartbeats to a few live members at once because there is new information.
 pub fn push(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let mut sent_to = Vec::with_capacity(PUSH_FAN_OUT);
     for _ in 0..PUSH_FAN_OUT {
@@ -54,7 +57,7 @@
     }
 }
 
-/// Answers a daemon that lacks members' records, with all of them.
+/// Sends all records to a daemon that lacks members' records.
 pub fn answer_probe(state: &State, now: Now, to: VmId, out: &mut Vec<Effect>) {
     let own = state.local.vm;
     let known = state.members.all.iter().filter(|(vm, m)| **vm != own && m.live);
@@ -68,32 +71,36 @@
     }
 }
 
-/// Tells a peer that showed older revisions what is known here. A daemon that is not on others' lists
-/// yet gets no heartbeats, and would not hear of a change.
+/// Replies with this daemon's revisions to a peer that advertised older ones. A daemon that is not
+/// on others' lists yet gets no heartbeats, so it would not learn of a change otherwise.
 pub fn reply_if_newer(state: &State, to: VmId, heartbeat: &Heartbeat, out: &mut Vec<Effect>) {
     let own = new_heartbeat(state);
     let is_older = heartbeat.documents < own.documents
         || heartbeat.catalogue < own.catalogue
         || heartbeat.vms < own.vms;
-    // Two that are each behind in something would answer each other without end.
+    // Two daemons that each lack a newer revision of the other would reply to each other endlessly.
     if is_older && !heartbeat.reply {
         out.push(heartbeat_effect(to, Heartbeat { reply: true, ..own }));
     }
 }
 
-/// How many heartbeats carry a member's news: by then all but surely all members have it.
+/// Returns how many heartbeats carry a member's full record after a change. After that many,
+/// practically all members have received it.
 pub fn record_sends_per_change(members: &Members) -> u32 {
     4 + 2 * members.listed().len().ilog2()
 }
 
-/// The peer of this round.
+/// Selects the target of a heartbeat in this round.
 ///
 /// In each round of the wall clock all daemons arrange the live members on a circle by the same
-/// hashes and tell the next one, so that each is told by exactly one other, in an order that is new
-/// each round. Clocks or views that differ make the choice a random one. (With independent random
-/// choices a third of them is told by nobody in a round, and the last one hears of news half as late
-/// again. A shared shift along the sorted list was tried: a run of even shifts leaves the two halves
-/// of a list without news of each other for seconds.)
+/// hashes and send to the next one. So each member receives exactly one heartbeat per round, in an
+/// order that changes with each round. If clocks or member lists differ, the choice is a random
+/// one.
+///
+/// With independent random choices, a third of the members receive no heartbeat in a round, and the
+/// last one receives new information half as late again. A shared shift along the sorted list was
+/// tried: a run of even shifts leaves the two halves of the list without information about each
+/// other for seconds.
 fn select_target(state: &mut State, now: Now, k: usize) -> Option<VmId> {
     if state.rng.next_u64().is_multiple_of(DEAD_TARGET_PERIOD)
         && let Some(dead_peer) = pick_dead_peer(state)
@@ -111,7 +118,7 @@
     if is_recently_seen(state, now, to) { Some(to) } else { pick_live_peer(state, now) }
 }
 
-/// A random listed member that is not live.
+/// Picks a random listed member that is not live.
 fn pick_dead_peer(state: &mut State) -> Option<VmId> {
     let members = &state.members;
     let count = members.listed().len().checked_sub(members.live().len()).filter(|c| 0 < *c)?;
@@ -120,8 +127,9 @@
     dead.nth(index).map(|(vm, _)| *vm)
 }
 
-/// A random live member, if possible one that was heard a moment ago: just after a partition most of
-/// the live ones can't be reached, and those that can would hear too little to stay live.
+/// Picks a random live member, if possible one that was seen recently. Just after a partition most
+/// live members are unreachable, and the reachable ones would receive too few heartbeats to stay
+/// live.
 fn pick_live_peer(state: &mut State, now: Now) -> Option<VmId> {
     let own = state.local.vm;
     let live = state.members.live();
@@ -184,8 +192,8 @@
     Effect::Send { to, message: Body::Heartbeat(heartbeat).into() }
 }
 
-/// Full records of members with news, those told least often first, then of those whose short form
-/// would be ambiguous.
+/// Adds full records: first those of changed members, least often sent first, then those of members
+/// whose summary would be ambiguous.
 fn add_full_records(members: &mut Members, now: Now, records: &mut Vec<Seen>) {
     let own = members.own;
     let pending = members.all.iter().filter(|(vm, m)| **vm != own && 0 < m.record_sends && m.live);
@@ -204,8 +212,9 @@
     records.extend(ambiguous.filter_map(|(vm, m)| full_record(*vm, m, now)).take(MAX_RECORDS));
 }
 
-/// Whether this daemon must ask for all records: it knows of members that it has no record of, it has
-/// just started, or it is not on others' lists yet, so that nobody sends it heartbeats.
+/// Returns whether this daemon must ask for all records: it knows members without having their
+/// record, it has just started, or it is not on others' lists yet, so that no member sends it
+/// heartbeats.
 fn needs_all_records(members: &Members) -> bool {
     if !members.has_heartbeat || !members.is_listed(members.own) {
         return true;
@@ -230,7 +239,7 @@
     u64::try_from(length).unwrap_or(u64::MAX).max(1)
 }
 
-/// Milliseconds since the platform confirmed the documents, 0 when it never did.
+/// Returns the milliseconds since the platform confirmed the documents, or 0 if it never did.
 fn confirmation_age_ms(state: &State) -> u32 {
     let Some(at) = state.documents.confirmed_at else { return 0 };
     let age = state.members.own_status.last_event.saturating_sub(at).as_millis();
--- a/crates/basilbank_core/src/reduce/member/summary.rs
+++ b/crates/basilbank_core/src/reduce/member/summary.rs
@@ -1,13 +1,14 @@
-//! The short form in which heartbeats carry other members' counters.
+//! Compact summaries of other members, which heartbeats carry.
 //!
-//! Four bytes a member: the upper 16 bits of its id, 5 bits that tell its incarnation, the low 6 bits
-//! of its counter, and 5 bits for how old the news is. A whole table of 320 members fits two
-//! datagrams, so news needs few hops. Two members of one list whose ids begin alike are left out;
-//! their full records go round instead.
+//! A summary takes four bytes: the upper 16 bits of the member's id, a 5-bit hash of its
+//! incarnation, the low 6 bits of its heartbeat counter, and a 5-bit age of the information. A
+//! whole table of 320 members fits two datagrams, so information needs few hops. Two members of one
+//! list with the same upper id bits have no summary; their full records are sent instead.
 //!
 //! The age makes all daemons count a member as dead at the same time after its last heartbeat,
-//! however long that took to reach them. The counter makes news of one heartbeat count once, so that
-//! a dead member is not kept alive by packets that were on their way for long.
+//! however long the information took to reach them. The counter makes the information of one
+//! heartbeat count once, so that a dead member is not kept alive by packets that were delayed for
+//! long.
 
 use std::time::Duration;
 
@@ -16,14 +17,15 @@
     state::{Member, Members},
 };
 
-/// Bytes of one member.
+/// Bytes of one summary.
 pub const ENTRY_BYTES: usize = 4;
 const COUNTER_BITS: u32 = 6;
 const AGE_BITS: u32 = 5;
 const COUNTER_MODULUS: u64 = 1 << COUNTER_BITS;
 const AGE_STEPS: u32 = 1 << AGE_BITS;
 
-/// The live members other than this daemon's own, in short form. `dead_after` is the oldest age.
+/// Encodes summaries of the live members other than this daemon. `dead_after` is the highest age
+/// that can be encoded.
 pub fn encode(members: &Members, mono: Duration, dead_after: Duration) -> Vec<u8> {
     let mut summaries = Vec::with_capacity(members.listed().len() * ENTRY_BYTES);
     for (vm, member) in members.all.iter().filter(|(vm, _)| **vm != members.own) {
@@ -40,7 +42,7 @@
     summaries
 }
 
-/// Takes a peer's beats in, and gives the members that were not live before.
+/// Applies a peer's summaries, and returns the members that were not live before.
 pub fn apply(
     members: &mut Members,
     summaries: &[u8],
@@ -68,13 +70,14 @@
     newly_live
 }
 
-/// Whether a full record must go round for a member, since its short form would be ambiguous.
+/// Returns whether a member needs its full record sent because its summary would be ambiguous.
 pub fn needs_full_record(members: &Members, vm: VmId) -> bool {
     !is_prefix_unique(members, id_prefix(vm))
 }
 
-/// Takes a counter over if it is ahead. One that is far ahead, after a long separation, may look as
-/// if it were behind; the member's own heartbeats and full records set that right.
+/// Advances a member's counter if the received one is ahead of it. A counter that is far ahead,
+/// after a long separation, may look as if it were behind; the member's own heartbeats and full
+/// records correct that.
 fn advance_counter(member: &mut Member, low: u16) -> bool {
     if member.incarnation != 0
         && u16::from(incarnation_tag(member.incarnation)) != low >> COUNTER_BITS
@@ -109,7 +112,8 @@
     members.all.range(id_range(prefix)).nth(1).is_none()
 }
 
-/// Incarnations are milliseconds, so the low bits differ most.
+/// Returns a short hash of an incarnation. Incarnations are times in milliseconds, so their low
+/// bits differ most.
 fn incarnation_tag(incarnation: u64) -> u8 {
     let folded = incarnation ^ (incarnation >> 5) ^ (incarnation >> 10) ^ (incarnation >> 15);
     (folded % 32) as u8
--- a/crates/basilbank_core/src/reduce/order.rs
+++ b/crates/basilbank_core/src/reduce/order.rs
@@ -1,9 +1,11 @@
-//! Orders to endpoints: models, adapters, versions and roles; and drains before them.
+//! Sends orders to endpoints to change models, adapters, versions and roles, and drains endpoints
+//! before that.
 //!
-//! The catalogue says what each endpoint should serve. An endpoint's steward, alone, compares that
-//! with what the endpoint reports. Where they differ it waits for the endpoint's turn, gives the
-//! endpoint no new work, lets it finish what it has, states what it should serve and reads back. An
-//! order states an end, not a step, so it may be sent twice and by two stewards.
+//! The catalogue states what each endpoint should serve. Only an endpoint's owner compares that
+//! with what the endpoint reports. Where they differ, the owner waits for the endpoint's turn,
+//! gives it no new work, lets it finish its work, orders what it should serve and reads back the
+//! result. An order states the desired result, not a step, so it may be sent twice and by two
+//! owners.
 
 mod rollout;
 mod send;
@@ -19,16 +21,16 @@
     time::Now,
 };
 
-/// Time between two looks at what endpoints serve.
+/// Time between two checks of what endpoints serve.
 const TICK_INTERVAL: Duration = Duration::from_secs(1);
-/// An endpoint must be seen empty for this long. A KV cache that was handed over lives for less, and
-/// a request that another steward let in shows in the reports by then.
+/// Time for which an endpoint must be seen empty. A KV cache that was handed over lives for less
+/// than this, and a request that another owner admitted appears in the reports by then.
 const MIN_EMPTY_TIME: Duration = Duration::from_secs(2);
-/// A drain that takes longer is noted, again and again.
+/// Time after which a drain is reported as slow, and between two such reports.
 const SLOW_DRAIN_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Whether an endpoint gets no new work: an order waits until it is empty, or it has nothing loaded
-/// that work of its pool could use.
+/// Returns whether an endpoint gets no new work: an order waits until it is empty, or it has loaded
+/// nothing that work of its pool could use.
 #[must_use]
 pub fn is_draining(state: &State, endpoint: EndpointId) -> bool {
     if state.orders.rollouts.get(&endpoint).is_some_and(Rollout::is_closed) {
@@ -41,7 +43,7 @@
     target.is_some_and(|target| !serving.is_usable_for(&target))
 }
 
-/// A report came from an endpoint.
+/// Handles a report from an endpoint.
 pub fn on_report(
     state: &mut State,
     now: Now,
@@ -78,13 +80,14 @@
     }
 }
 
-/// This daemon was paused: another may have been steward of its endpoints and may have ordered there,
-/// so the hold-off towards endpoints that ignore fencing starts again.
+/// Handles a pause of this process. Another daemon may have owned its endpoints and sent orders to
+/// them meanwhile, so the hold-off towards endpoints that do not check fencing numbers starts
+/// again.
 pub fn on_pause(state: &mut State) {
     state.orders.owned_since.clear();
 }
 
-/// Looks for orders that are due.
+/// Handles the orders that are due.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + TICK_INTERVAL, Timer::Orders);
     rollout::track_model_changes(state, now);
@@ -105,23 +108,24 @@
     rollout::read_loads(state, now, to_read, out);
 }
 
-/// Whether a peer has shown a newer catalogue than the one in force here.
+/// Returns whether a peer has advertised a newer catalogue than the one in force here.
 ///
-/// A steward that was paused in the middle of a roll may decide again as soon as it has heard its
-/// peers, and that is before the catalogue that came into force meanwhile has reached it, above all
-/// when a datagram is lost. Its order would load what the operators have replaced. One would see an
-/// endpoint without fencing numbers load an old version after the new one.
+/// An owner that was paused during a rollout may decide again as soon as it is in contact with its
+/// peers. That is before it has received the catalogue that came into force meanwhile, above all if
+/// a datagram is lost. Its order would load what the operators have replaced. The symptom is an
+/// endpoint without fencing numbers that loads an old version after the new one.
 fn is_catalogue_stale(state: &State) -> bool {
     state.view.catalogue.revision < state.documents.advertised.catalogue.revision
 }
 
-/// The endpoints that this daemon decides on as steward; none while it may not decide.
+/// Returns the endpoints that this daemon owns, or none while it may not decide.
 pub fn owned_endpoints(state: &State) -> impl Iterator<Item = &Endpoint> {
     let known = state.slots.ledgers.keys().filter(|_| state.members.may_decide());
     known.filter_map(|id| state.view.endpoint(*id))
 }
 
-/// Compares what one endpoint serves with what it should.
+/// Compares what one endpoint serves with what it should serve, and takes the next step if they
+/// differ.
 fn check_endpoint(
     state: &mut State,
     now: Now,
@@ -161,7 +165,7 @@
     }
 }
 
-/// Closes an endpoint whose turn has come.
+/// Stops new work at an endpoint whose turn it is to change.
 fn start_drain(
     state: &mut State,
     now: Now,
@@ -178,8 +182,8 @@
     note("order_drain", endpoint.id, &roll.target.version, out);
 }
 
-/// Orders an endpoint once it is empty; opens it again when its turn is over, as after a change of
-/// the catalogue that puts others first.
+/// Orders an endpoint once it is empty. Gives it new work again if it is no longer its turn, for
+/// example after a change of the catalogue that puts other endpoints first.
 fn drain(
     state: &mut State,
     now: Now,
@@ -207,11 +211,11 @@
     }
 }
 
-/// Whether nothing runs at an endpoint and nobody holds a slot there.
+/// Returns whether an endpoint runs nothing and none of its slots is held.
 ///
-/// An order cuts off what runs. A steward that looked at the report alone would order while a request
-/// with a granted slot is on its way; one that looked at its own ledger alone would cut off what
-/// another steward let in.
+/// An order aborts what the endpoint runs. An owner that relied on the report alone would send an
+/// order while a request with a granted slot is on its way. An owner that relied on its own ledger
+/// alone would abort what another owner admitted.
 fn is_empty(state: &State, endpoint: EndpointId, serving: &ServingStatus) -> bool {
     let ledger = state.slots.ledgers.get(&endpoint);
     let is_free =
--- a/crates/basilbank_core/src/reduce/order/rollout.rs
+++ b/crates/basilbank_core/src/reduce/order/rollout.rs
@@ -1,9 +1,10 @@
-//! Whose turn it is to change, agreed without a message.
+//! Decides whose turn it is to change, without messages between daemons.
 //!
-//! All daemons have the same catalogue and read the same endpoints. A model's endpoints change in the
-//! order of their ids, which are hashes of their names and so spread over the data centres. One may
-//! start when those before it have changed, or when what is left in service without them and without
-//! itself covers what teams are owed, and when the weight store can serve one more load.
+//! All daemons have the same catalogue and read the same endpoints. A model's endpoints change in
+//! the order of their ids, which are hashes of their names and thus spread over the data centres.
+//! An endpoint may start if those before it have changed, or if the capacity that remains in
+//! service without them and without itself covers what teams are guaranteed. In both cases the
+//! weight store must be able to serve one more load.
 
 use std::time::Duration;
 
@@ -16,25 +17,26 @@
     time::Now,
 };
 
-/// Endpoints read in one look, beyond those that are read anyway.
+/// Maximum endpoints that one check reads, in addition to those that are read anyway.
 const MAX_READS_PER_TICK: usize = 16;
-/// Reports of a model's endpoints older than this do not count.
+/// Maximum age of reports of a model's endpoints; older ones do not count.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
-/// How often the endpoints that are waited for are read.
+/// Time between two reads of an endpoint that others wait for.
 const POLL_INTERVAL: Duration = Duration::from_secs(3);
-/// A model whose version changed within this time may still be loading somewhere.
+/// Time after a model's version changed in which it may still be loading somewhere.
 const MAX_ROLLOUT_TIME: Duration = Duration::from_secs(1800);
 
-/// What stands between an endpoint and its change.
+/// The part of an endpoint's pool that is out of service, or will be before the endpoint changes.
 struct Unavailable {
-    /// Not changed, and before it in the order, or out of service for another reason.
+    /// Slots of endpoints that are before it in the order and have not changed, or that are out of
+    /// service for another reason.
     slots: u64,
-    /// How many those are, without the ones that do not answer.
+    /// Number of these endpoints, without those that do not answer.
     changing: usize,
 }
 
-/// Whether an endpoint may be taken out of service now. Endpoints that must be read first are pushed
-/// to `wanted`.
+/// Returns whether an endpoint may be taken out of service now. Endpoints that must be read first
+/// are pushed to `to_read`.
 pub fn may_drain(
     state: &State,
     now: Now,
@@ -46,7 +48,8 @@
     let max_loads = max_concurrent_loads(state, now, endpoint);
     let unchanged = unchanged_before(state, model, endpoint.id, max_loads, to_read);
     if max_loads <= unchanged.len() {
-        // The turn is far off: only the first few decide whether it comes nearer.
+        // Many endpoints are still before this one, and only the first few of them decide when its
+        // turn comes.
         to_read.extend(
             unchanged.into_iter().filter(|id| is_report_older(state, now, *id, POLL_INTERVAL)),
         );
@@ -74,7 +77,7 @@
     unavailable.changing == 0 || owed <= remaining as f64
 }
 
-/// Reads the endpoints that were found wanting, as many as one look may.
+/// Reads the given endpoints, at most as many as one check may read.
 pub fn read_loads(state: &State, now: Now, mut to_read: Vec<EndpointId>, out: &mut Vec<Effect>) {
     to_read.sort_unstable_by_key(|id| (last_read(state, *id), *id));
     to_read.dedup();
@@ -82,7 +85,7 @@
     out.extend(to_read.into_iter().take(MAX_READS_PER_TICK).map(read_load));
 }
 
-/// Follows the catalogue's changes of versions.
+/// Records when the catalogue changed the version or adapter of each model.
 pub fn track_model_changes(state: &mut State, now: Now) {
     let catalogue = state.view.catalogue.clone();
     if state.orders.revision == catalogue.revision {
@@ -100,8 +103,9 @@
     state.orders.model_changes.retain(|id, _| is_known(id));
 }
 
-/// Endpoints of one model that may load at once: as many as fill the weight store's rate, shared with
-/// the other models that changed lately. At least one, or nothing would ever change.
+/// Returns how many endpoints of one model may load at once: as many as the weight store's rate
+/// allows, shared with the other models that changed lately. At least one, since no endpoint would
+/// ever change otherwise.
 fn max_concurrent_loads(state: &State, now: Now, endpoint: &Endpoint) -> usize {
     let rate = state.view.catalogue.weight_rate;
     if rate == 0 || endpoint.link_rate == 0 {
@@ -113,8 +117,8 @@
     usize::try_from(rate / endpoint.link_rate / changing).unwrap_or(usize::MAX).max(1)
 }
 
-/// The first endpoints of a model, in any role, that are before `own` and have not changed; at most
-/// `most`. Endpoints that were never read count, as they may have to change.
+/// Returns the first endpoints of a model, in any role, that are before `own` and have not changed;
+/// at most `max`. Endpoints that were never read count, because they may have to change.
 fn unchanged_before(
     state: &State,
     model: ModelId,
@@ -145,7 +149,7 @@
     unchanged
 }
 
-/// What of an endpoint's pool is out of service, or will be before it.
+/// Counts what is out of service in an endpoint's pool, or will be before the endpoint changes.
 fn count_unavailable<'a>(
     state: &State,
     own: &Endpoint,
@@ -165,7 +169,7 @@
     unavailable
 }
 
-/// Share of a target's capacity that teams are owed together.
+/// Returns the fraction of a target's capacity that is guaranteed to all teams together.
 fn owed_fraction(state: &State, target: EntryTarget) -> f64 {
     let entries = state.view.catalogue.entries.iter().filter(|e| e.target == target);
     entries.map(|e| e.limits.owed).sum::<f64>().min(1.0)
--- a/crates/basilbank_core/src/reduce/order/send.rs
+++ b/crates/basilbank_core/src/reduce/order/send.rs
@@ -1,4 +1,4 @@
-//! The order itself: its fencing number, and when it is sent again.
+//! Sends an order with its fencing number, and repeats it.
 
 use std::time::Duration;
 
@@ -11,33 +11,35 @@
     time::Now,
 };
 
-/// An order that had no effect is sent again after this; twice as long each time.
+/// Time after which an order without effect is sent again; it doubles with each send.
 const INITIAL_RESEND_DELAY: Duration = Duration::from_secs(5);
-/// Longest time between two orders.
+/// Maximum time between two sends of an order.
 const MAX_RESEND_DELAY: Duration = Duration::from_secs(300);
-/// How long a load may take on top of the transfer of its weights.
+/// Time that a load may take in addition to the transfer of its weights.
 const LOAD_MARGIN: Duration = Duration::from_secs(60);
-/// A load may take so many times as long as the transfer of its weights at the link's rate.
+/// Factor by which a load may take longer than the transfer of its weights at the link's rate.
 const LOAD_FACTOR: f64 = 3.0;
-/// How long an order of the steward before may still be on its way, beyond the time after which that
-/// steward counts as dead.
+/// Time for which an order of the former owner may still be on its way, beyond the time after which
+/// that owner counts as dead.
 const MAX_ORDER_TRANSIT: Duration = Duration::from_secs(6);
 
-/// The fencing number: the catalogue's revision, then the VM list's.
+/// Returns the fencing number: the catalogue's revision in the upper 32 bits, the VM list's in the
+/// lower.
 ///
-/// Both are published and only rise, so the number of whoever has seen the newer catalogue is higher,
-/// and no daemon writes anything to get one.
+/// Both are published and only increase, so a daemon that has seen the newer catalogue has the
+/// higher number, and no daemon has to write anything to obtain one.
 #[must_use]
 pub fn fencing_number(state: &State) -> u64 {
     let clamp = |revision: u64| revision.min(u32::MAX.into());
     clamp(state.view.catalogue.revision) << 32 | clamp(state.documents.vms.revision)
 }
 
-/// Whether this daemon may order an endpoint now.
+/// Returns whether this daemon may send an order to an endpoint now.
 ///
-/// Where the endpoint checks fencing numbers, a higher one there means that a daemon with a newer
-/// catalogue or list is at work. Where it does not, an order of a former steward that was paused may
-/// still arrive and undo a newer one; a new steward lets that time pass, orders, and reads back.
+/// If the endpoint checks fencing numbers, a higher number there means that a daemon with a newer
+/// catalogue or VM list is sending orders. If it does not check them, an order of a former owner
+/// that was paused may still arrive and undo a newer one. A new owner waits until that can no
+/// longer happen, sends its order and reads back the result.
 #[must_use]
 pub fn may_order(state: &State, now: Now, endpoint: &Endpoint, serving: &ServingStatus) -> bool {
     if endpoint.checks_fencing {
@@ -47,7 +49,7 @@
     state.orders.owned_since.get(&endpoint.id).is_some_and(|since| *since + hold_off <= now.mono)
 }
 
-/// An endpoint refused an order: it has seen a higher number.
+/// Handles the refusal of an order by an endpoint that has seen a higher fencing number.
 pub fn on_fenced(state: &mut State, endpoint: EndpointId, fence: u64, out: &mut Vec<Effect>) {
     if let Some(serving) = state.orders.reports.get_mut(&endpoint) {
         serving.fence = serving.fence.max(fence);
@@ -57,7 +59,7 @@
     }
 }
 
-/// States what an endpoint should serve.
+/// Orders an endpoint to serve what it should.
 pub fn issue(state: &mut State, now: Now, endpoint: &Endpoint, sent: u32, out: &mut Vec<Effect>) {
     let fence = fencing_number(state);
     let delay =
@@ -78,8 +80,8 @@
     }));
 }
 
-/// An order has had no effect so far: sends it again, unless the endpoint still loads or got work in
-/// the meantime.
+/// Sends an order again that has had no effect so far, unless the endpoint is still loading or got
+/// work in the meantime.
 pub fn reissue(
     state: &mut State,
     now: Now,
@@ -103,7 +105,7 @@
     issue(state, now, endpoint, sent, out);
 }
 
-/// How long an endpoint may take to load its model.
+/// Returns the time that an endpoint may take to load its model.
 fn max_load_time(state: &State, endpoint: &Endpoint) -> Duration {
     let EntryTarget::Model(model) = endpoint.serves else { return LOAD_MARGIN };
     let weights = state.view.model(model).map_or(0, |m| m.weight_bytes);
--- a/crates/basilbank_core/src/reduce/reap.rs
+++ b/crates/basilbank_core/src/reduce/reap.rs
@@ -1,8 +1,8 @@
-//! Streams and KV caches that nobody owns any more are cancelled.
+//! Cancels streams and KV caches that no daemon needs any more.
 //!
-//! An endpoint's steward lists what the endpoint holds. It cancels what a daemon left behind that is
-//! gone, once it was unread for long enough that no caller comes back for it. Each daemon looks after
-//! its own cancels: where it cancelled something it lists the endpoint until that is gone.
+//! An endpoint's owner lists what the endpoint holds. It cancels what a daemon that is gone left
+//! behind, once that was unread for so long that no caller will come back for it. Each daemon
+//! follows up on its own cancels: it lists the endpoint until what it cancelled is gone.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -16,25 +16,26 @@
     time::Now,
 };
 
-/// Time from a cancel until the endpoint is looked at: most cancels have arrived by then.
+/// Time from a cancel until the endpoint is listed; most cancels have arrived by then.
 const CHECK_DELAY: Duration = Duration::from_secs(1);
-/// How long a daemon looks after a cancel of its own. After that the endpoint's steward sees to it.
+/// Time for which a daemon follows up on its own cancel. After that the endpoint's owner cancels
+/// what is left.
 const MAX_CHECK_TIME: Duration = Duration::from_secs(60);
-/// A KV cache is of use for less than this; endpoints evict it by themselves in less.
+/// Idle time after which a KV cache is of no use; endpoints evict it by themselves before that.
 const MAX_KV_CACHE_LIFE: Duration = Duration::from_secs(2);
 
-/// Why something is cancelled.
+/// Why a stream or KV cache is cancelled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum CancelCause {
-    /// Its daemon cancelled it before, and the cancel was lost.
+    /// Its daemon cancelled it before, but the cancel was lost.
     Cancelled,
-    /// Its daemon is gone, or has not been heard, and nobody read it since.
+    /// Its daemon is gone or out of contact, and nobody has read it since.
     Orphaned,
-    /// Nobody read it for so long that nobody will.
+    /// It was unread for so long that nobody will read it.
     Unread,
 }
 
-/// An endpoint listed what it holds.
+/// Handles an endpoint's list of its streams and KV caches.
 pub fn on_stream_list(
     state: &mut State,
     endpoint: EndpointId,
@@ -50,7 +51,7 @@
     forget_confirmed(state, endpoint, streams);
 }
 
-/// Lists endpoints' streams.
+/// Requests the lists of streams and KV caches that are due.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let interval = state.local.tuning.reap_interval;
     let mut to_list = Vec::new();
@@ -79,11 +80,11 @@
     out.extend(calls.map(Effect::Engine));
 }
 
-/// Remembers the cancels among the effects of one event.
+/// Records the cancels among the effects of one event.
 ///
-/// A cancel is one call without an answer. When it is lost, the endpoint goes on with a stream whose
-/// caller has left and whose daemon has forgotten it: a slot stays taken until the stream ends by
-/// itself, and no error is seen anywhere.
+/// A cancel is one call without an answer. If it is lost, the endpoint continues a stream whose
+/// caller has left and which its daemon has forgotten. The stream takes a slot until it ends by
+/// itself, and no error shows up anywhere.
 pub fn track_cancels(state: &mut State, now: Now, effects: &[Effect]) {
     for effect in effects {
         let Effect::Engine(EngineCall::Cancel { endpoint, request, resource, .. }) = effect else {
@@ -102,8 +103,8 @@
     }
 }
 
-/// Forgets the cancels that had time to arrive before the list was asked for, and of which nothing
-/// is on it, by request or by name.
+/// Forgets the cancels that had time to arrive before the list was requested and whose request and
+/// name are not on the list.
 fn forget_confirmed(state: &mut State, endpoint: EndpointId, streams: &[StreamInfo]) {
     let own = (state.local.vm, state.local.incarnation);
     let own_streams = || streams.iter().filter(|info| (info.vm, info.incarnation) == own);
@@ -141,7 +142,7 @@
     }));
 }
 
-/// Why a stream or KV cache is to be cancelled; `None` when it is not.
+/// Returns why a stream or KV cache is to be cancelled, or `None` if it is not.
 fn cancel_cause(
     state: &State,
     endpoint: EndpointId,
@@ -173,12 +174,13 @@
         .then_some(CancelCause::Orphaned)
 }
 
-/// Whether this daemon cancelled it and the cancel has had no effect. A request that lives may hold
-/// another stream at the same endpoint by now, so without a name only a dead request's are meant.
+/// Returns whether this daemon cancelled a stream or KV cache without effect. A live request may
+/// hold another stream at the same endpoint by now, so a match by request counts only if the
+/// request has ended.
 ///
-/// A stream that was taken over is listed under the request that started it, on another daemon
-/// perhaps, so its name counts as well: else a lost cancel of it would never be made good. But a
-/// request of this daemon that has come to read it since keeps it.
+/// A stream that was taken over is listed under the request that started it, possibly on another
+/// daemon. Therefore a match by name counts as well; otherwise a lost cancel of such a stream would
+/// never be repeated. But a stream that a request of this daemon reads again is not cancelled.
 fn was_cancelled(state: &State, endpoint: EndpointId, info: &StreamInfo, is_live: bool) -> bool {
     let Some(watch) = state.reaper.watches.get(&endpoint) else { return false };
     let is_match = |c: &CancelledAttempt| {
@@ -188,7 +190,7 @@
     watch.cancelled.iter().any(is_match) && !is_read(state, endpoint, &info.stream)
 }
 
-/// Whether a request of this daemon reads a stream.
+/// Returns whether a request of this daemon reads a stream.
 fn is_read(state: &State, endpoint: EndpointId, stream: &str) -> bool {
     state.requests.attempts.values().any(|attempt| {
         let is_here = attempt.slot.is_some_and(|slot| slot.endpoint == endpoint);
@@ -196,11 +198,11 @@
     })
 }
 
-/// Whether the daemon that owns a stream is gone: it was replaced, is off the platform's list, or has
-/// not been heard for the time after which members count as dead.
+/// Returns whether the daemon that a stream belongs to is gone: it was replaced, is not on the
+/// platform's list, or has been silent for the time after which members count as dead.
 ///
-/// A daemon on the other side of a partition looks dead as well, though its caller reads on. Its
-/// stream is not idle then, so callers of this function look at that too.
+/// A daemon on the other side of a partition looks dead as well, although its caller still reads
+/// the stream. Such a stream is not idle, so callers of this function check that too.
 fn is_daemon_gone(state: &State, info: &StreamInfo) -> bool {
     let members = &state.members;
     if !members.is_listed(info.vm) {
--- a/crates/basilbank_core/src/reduce/slots.rs
+++ b/crates/basilbank_core/src/reduce/slots.rs
@@ -1,4 +1,4 @@
-//! The steward's side of slots: who gets one, and when.
+//! Grants and denies the slots of the endpoints that this daemon owns.
 
 mod takeover;
 
@@ -16,10 +16,10 @@
     time::Now,
 };
 
-/// Time between two looks at leases and waiting reservations.
+/// Time between two checks of leases and waiting reservations.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A daemon asks this one, as an endpoint's steward, for a slot.
+/// Handles a daemon's request for a slot at an endpoint that this daemon owns.
 pub fn on_reserve(state: &mut State, now: Now, from: VmId, ask: &Reserve, out: &mut Vec<Effect>) {
     let endpoint = EndpointId(ask.endpoint);
     let key = SlotKey { endpoint, request: RequestId(ask.request), attempt: ask.attempt };
@@ -34,7 +34,7 @@
         return send_grant(state, key, from, lent, out);
     }
     let mut waiter = new_waiter(now, key, from, ask);
-    // This daemon reads the endpoint's cache events, so it may know more than the one that asks.
+    // This daemon reads the endpoint's cache events, so it may know more than the daemon that asks.
     if ask.block != 0 && state.health.prefixes.contains(ask.block, endpoint) {
         waiter.tokens = waiter.tokens.min(ask.sent.saturating_sub(ask.cached));
     }
@@ -43,7 +43,7 @@
     deny_if_too_late(state, now, key, out);
 }
 
-/// Denies a reservation that would not be served in the time it has.
+/// Denies a reservation that can't be granted in the time it may wait.
 fn deny_if_too_late(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&key.endpoint) else { return };
     if ledger.waiting.position(key).is_some_and(|(group, _)| group == Group::Late) {
@@ -61,7 +61,7 @@
 fn new_waiter(now: Now, key: SlotKey, vm: VmId, ask: &Reserve) -> Waiter {
     let time_left = i64::from(ask.slack) - i64::from(ask.lead);
     let time_left = Duration::from_millis(time_left.max(0).unsigned_abs());
-    // A request whose target has passed is due since the start of time: it is late.
+    // A request that has missed its target is due at time zero, so it counts as late.
     let due = if time_left.is_zero() { Duration::ZERO } else { now.mono + time_left };
     Waiter {
         key,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Why this daemon may grant nothing at an endpoint.
+/// Returns why this daemon may grant nothing at an endpoint, if so.
 fn denial_reason(state: &State, endpoint: EndpointId) -> Option<DenyReason> {
     if state.members.owner(endpoint.0) != Some(state.local.vm) {
         return Some(DenyReason::NotSteward);
@@ -93,8 +93,8 @@
     None
 }
 
-/// Grants slots to those that wait, as far as there are any. Nothing is granted at an endpoint that
-/// has just been found to be leaving; the next tick denies those that wait.
+/// Grants free slots to waiting reservations. Nothing is granted at an endpoint that was just found
+/// to be leaving; the next tick denies the reservations that wait there.
 pub fn grant_waiting(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     if denial_reason(state, endpoint).is_some() {
         return;
@@ -160,8 +160,8 @@
     peer::send(state, to, Body::Deny(deny), out);
 }
 
-/// Denies those that will not be served in the time they have, at once: they may find a slot
-/// elsewhere, and their callers learn it now and not at the end of the wait.
+/// Denies at once the reservations that can't be granted in the time they may wait. They may find a
+/// slot elsewhere, and their callers learn it now and not at the end of the wait.
 fn deny_too_late(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     let (too_late, wait) = queue::remove_infeasible(ledger, &state.view, now);
@@ -170,7 +170,8 @@
     }
 }
 
-/// Takes lent slots back for entries that are owed them and would miss their targets else.
+/// Takes lent slots back for entries that are guaranteed them and would otherwise miss their
+/// targets.
 fn preempt_lent(state: &mut State, now: Now, endpoint: EndpointId, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
     for (key, vm) in queue::select_preemptions(ledger, &state.view, now) {
@@ -180,7 +181,7 @@
     }
 }
 
-/// A holder gave a slot, or the wait for it, back.
+/// Handles a holder's release of a slot, or of a reservation that waits for one.
 pub fn on_release(
     state: &mut State,
     now: Now,
@@ -211,7 +212,7 @@
     }
 }
 
-/// Expires leases and reservations, grants what waits, and does the holder's part.
+/// Expires leases and reservations, grants free slots, and runs the tick of the holder's side.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + TICK_INTERVAL, Timer::Slots);
     if state.slots.revision != state.view.catalogue.revision {
@@ -234,7 +235,7 @@
         ledger.rebuild = None;
     }
     if let Some(learning) = &ledger.rebuild {
-        // A question or its answer was lost, or is on its way: asking again harms nobody.
+        // The request or its answer may be lost or on its way; asking again does no harm.
         request_holds(endpoint, &learning.missing, out);
     }
     let expired = ledger.leases.iter().filter(|(_, lease)| lease.expires_at <= now.mono);
--- a/crates/basilbank_core/src/reduce/slots/takeover.rs
+++ b/crates/basilbank_core/src/reduce/slots/takeover.rs
@@ -1,4 +1,5 @@
-//! How a steward comes to know what is held at an endpoint: from its holders and from the endpoint.
+//! Learns what is held at an endpoint that this daemon has come to own, from its holders and from
+//! the endpoint itself.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,17 +15,18 @@
     time::Now,
 };
 
-/// A lease this young may be missing from its holder's list, which was made before the grant came.
+/// Age up to which a lease may be missing from its holder's list, because the list was made before
+/// the grant arrived.
 const GRANT_GRACE: Duration = Duration::from_millis(500);
-/// How long a new steward waits for peers' lists.
+/// Time that a new owner waits for peers' lists.
 const REBUILD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Opens an endpoint's ledger when this daemon has become its steward.
+/// Opens an endpoint's ledger when this daemon has become its owner.
 ///
-/// A steward that is new does not know what its predecessor granted. Granting all slots then would
-/// put up to twice as many requests on the endpoint as it has slots, seen as refusals after whole
-/// prefills. So it asks all peers first. Nor does it know whether the endpoint is leaving: its
-/// predecessor alone read that, and work granted before the first report would reach an endpoint
+/// A new owner does not know what its predecessor granted. If it granted all slots, the endpoint
+/// would get up to twice as many requests as it has slots, which shows as refusals after whole
+/// prefills. So it asks all peers first. Nor does it know whether the endpoint is leaving: only its
+/// predecessor read that, and work that is granted before the first report would reach an endpoint
 /// that was marked long ago. So it reads the endpoint's load too.
 pub(super) fn open_ledger(
     state: &mut State,
@@ -56,8 +58,8 @@
         ..Ledger::default()
     };
     request_holds(endpoint, &missing, out);
-    // A plain service tells no load, and refuses provably what is too much for it. Learning there
-    // would refuse lookups for as long as it takes, to spare a few of them a second call.
+    // A plain service reports no load, and provably refuses what is too much for it. Waiting for
+    // the lists would refuse lookups for that long, only to save a few of them a second call.
     if known.role != Role::Plain {
         out.push(Effect::Engine(EngineCall::ReadLoad { endpoint }));
         let until = now.mono + REBUILD_TIMEOUT;
@@ -75,11 +77,12 @@
     }
 }
 
-/// Slots that are leased beyond those that an endpoint has.
+/// Returns the number of slots that are leased beyond those that an endpoint has.
 ///
-/// Between a plain call's end and the next one's start lie three messages. A call takes hardly longer
-/// than these, so a service whose slots were leased just once would often be idle. Half as many more
-/// wait at the service's own door. One that has no place there refuses them provably, and gets fewer.
+/// Three messages lie between the end of a plain call and the start of the next one. A call hardly
+/// takes longer than these, so a service whose slots were leased only once would often be idle.
+/// Half as many more calls therefore wait at the service itself. A service that can't queue them
+/// refuses them provably, and gets fewer.
 fn extra_slots(endpoint: &Endpoint) -> u32 {
     match endpoint.role {
         Role::Plain => endpoint.slots.div_ceil(2),
@@ -87,13 +90,14 @@
     }
 }
 
-/// A new steward asks what this daemon holds.
+/// Sends a new owner what this daemon holds at an endpoint.
 pub fn on_ask_holds(state: &mut State, from: VmId, ask: &AskHolds, out: &mut Vec<Effect>) {
     let holds = reserve::holds_at(state, EndpointId(ask.endpoint));
     peer::send(state, from, Body::Holds(holds), out);
 }
 
-/// A holder tells what it holds: its leases are renewed, and those it does not list are over.
+/// Handles a holder's list of what it holds. Its leases are renewed, and those that it does not
+/// list are ended.
 pub fn on_holds(state: &mut State, now: Now, from: VmId, holds: &Holds, out: &mut Vec<Effect>) {
     let endpoint = EndpointId(holds.endpoint);
     if denial_reason(state, endpoint) == Some(DenyReason::NotSteward) {
@@ -152,24 +156,25 @@
     }
 }
 
-/// This daemon was paused: it is as new to its endpoints as a steward that has just taken over.
+/// Handles a pause of this process, after which it knows as little about its endpoints as a new
+/// owner.
 ///
-/// Meanwhile another may have been their steward and have granted slots that these ledgers show
-/// free. Granting from them would over-commit endpoints until the holders' next lists come, seen as
-/// refusals after whole prefills; so the ledgers are opened anew, and ask. Those that waited here ask
-/// again when they hear nothing.
+/// Meanwhile another daemon may have owned them and have granted slots that these ledgers show as
+/// free. Granting from them would over-commit endpoints until the holders' next lists arrive, which
+/// shows as refusals after whole prefills. So the ledgers are opened again, and ask. Reservations
+/// that waited here are requested again when no answer comes.
 pub fn on_pause(state: &mut State) {
     state.slots.ledgers.clear();
     state.slots.revision = 0;
 }
 
-/// The live members changed, so stewardships may have moved.
+/// Handles a change of the live members, which may change the owners of endpoints.
 pub fn on_members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     update_ledgers(state, now, out);
     reserve::on_members_changed(state, now, out);
 }
 
-/// Opens ledgers of endpoints that this daemon has become the steward of, and closes others.
+/// Opens ledgers of endpoints that this daemon has come to own, and closes those of others.
 pub(super) fn update_ledgers(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.slots.revision = state.view.catalogue.revision;
     let own = state.local.vm;
--- a/crates/basilbank_core/src/time.rs
+++ b/crates/basilbank_core/src/time.rs
@@ -1,18 +1,18 @@
-//! Time, passed in.
+//! Time as an input: the reducer reads no clock.
 
 use std::time::{Duration, SystemTime};
 
-/// One moment, on both clocks.
+/// One moment on the monotonic clock and on the wall clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Now {
-    /// Since an arbitrary start; never steps back. All decisions use it.
+    /// Time since an arbitrary start; never goes back. All decisions use it.
     pub mono: Duration,
-    /// The time of day, for idempotency keys that carry their time, and for logs.
+    /// Time of day, for idempotency keys that carry a timestamp and for logs.
     pub wall: SystemTime,
 }
 
 impl Now {
-    /// Milliseconds since the Unix epoch; 0 before it.
+    /// Returns the milliseconds since the Unix epoch, or 0 before it.
     #[must_use]
     pub fn unix_ms(&self) -> u64 {
         let since = self.wall.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -20,8 +20,8 @@
     }
 }
 
-/// Where the time comes from.
+/// A source of the current time.
 pub trait Clock: Send + Sync {
-    /// The current moment.
+    /// Returns the current moment.
     fn now(&self) -> Now;
 }
