--- a/crates/basilbank_core/src/reduce/admit.rs
+++ b/crates/basilbank_core/src/reduce/admit.rs
@@ -39,7 +39,7 @@
     let (id, caller) = (request.id, request.caller);
     // A request with a cursor reads an existing stream and runs nothing, so there is no idempotency
     // key to claim.
-    let is_resumed = request.completion.as_ref().is_some_and(|d| d.resume.is_some());
+    let is_resumed = request.completion.as_ref().is_some_and(|c| c.resume.is_some());
     let has_idempotency_key = request.idempotency_key.is_some() && !is_resumed;
     let key = state.requests.insert(request);
     out.push(Effect::Progress(Progress::Accepted { request: id, team, entry }));
--- a/crates/basilbank_core/src/reduce/candidates.rs
+++ b/crates/basilbank_core/src/reduce/candidates.rs
@@ -90,9 +90,9 @@
         return all.to_vec();
     }
     let mut sample: Vec<_> = (0..SAMPLE_SIZE).map(|_| all[state.rng.index(all.len())]).collect();
-    let known = prefix.matches.iter().map(|(endpoint, _)| *endpoint).take(SAMPLE_SIZE);
+    let with_prefix = prefix.matches.iter().map(|(endpoint, _)| *endpoint).take(SAMPLE_SIZE);
     let serves = |e: &EndpointId| state.view.endpoint(*e).is_some_and(|e| !e.leaving);
-    sample.extend(known.filter(serves));
+    sample.extend(with_prefix.filter(serves));
     sample.extend(prefix.preferred);
     sample.sort_unstable();
     sample.dedup();
@@ -145,16 +145,16 @@
 }
 
 fn load_penalty(state: &State, now: Now, endpoint: &Endpoint) -> Duration {
-    let Some(known) = state.health.endpoints.get(&endpoint.id) else { return Duration::ZERO };
-    let full_penalty = if known.full_until.is_some_and(|until| now.mono < until) {
+    let Some(health) = state.health.endpoints.get(&endpoint.id) else { return Duration::ZERO };
+    let full_penalty = if health.full_until.is_some_and(|until| now.mono < until) {
         FULL_PENALTY
     } else {
         Duration::ZERO
     };
-    let Some((free, at)) = known.free_slots else { return full_penalty };
-    if at + FREE_SLOTS_HINT_TTL < now.mono || endpoint.slots == 0 {
+    let Some((free_slots, reported_at)) = health.free_slots else { return full_penalty };
+    if reported_at + FREE_SLOTS_HINT_TTL < now.mono || endpoint.slots == 0 {
         return full_penalty;
     }
-    let used = 1.0 - (f64::from(free) / f64::from(endpoint.slots)).min(1.0);
+    let used = 1.0 - (f64::from(free_slots) / f64::from(endpoint.slots)).min(1.0);
     full_penalty + MAX_LOAD_PENALTY.mul_f64(used)
 }
--- a/crates/basilbank_core/src/reduce/deliver.rs
+++ b/crates/basilbank_core/src/reduce/deliver.rs
@@ -47,9 +47,9 @@
         out.push(Effect::Progress(progress));
         let entry = state.view.entry(request.entry);
         if let (Some(entry), false) = (entry, attempt.resumed) {
-            let lags = state.health.overruns.entry(entry.target).or_default();
-            lags.decode_granted.add(attempt.expected, now.mono - attempt.decode_granted);
-            lags.prefill_started.add(attempt.expected, now.mono - attempt.prefill_started);
+            let overruns = state.health.overruns.entry(entry.target).or_default();
+            overruns.decode_granted.add(attempt.expected, now.mono - attempt.decode_granted);
+            overruns.prefill_started.add(attempt.expected, now.mono - attempt.prefill_started);
         }
     }
     request.last_token_at = Some(now.mono);
--- a/crates/basilbank_core/src/reduce/estimate.rs
+++ b/crates/basilbank_core/src/reduce/estimate.rs
@@ -15,8 +15,8 @@
 /// prefill endpoint of the model stands for all.
 #[must_use]
 pub fn prefill_time(state: &State, request: &Request) -> Duration {
-    let first = first_prefill_endpoint(state, request.entry);
-    let rate = first.map_or(DEFAULT_PREFILL_TOKENS_PER_SECOND, prefill_rate_of);
+    let endpoint = first_prefill_endpoint(state, request.entry);
+    let rate = endpoint.map_or(DEFAULT_PREFILL_TOKENS_PER_SECOND, prefill_rate_of);
     Duration::from_secs_f64(f64::from(request.prefill_tokens()) / rate)
 }
 
@@ -31,8 +31,8 @@
     let rate =
         state.view.endpoint(endpoint).map_or(DEFAULT_PREFILL_TOKENS_PER_SECOND, prefill_rate_of);
     let cached = blocks as u32 * model_of(state, request.entry).map_or(0, |m| m.block_tokens);
-    let fresh = request.prefill_tokens().saturating_sub(cached);
-    Duration::from_secs_f64(f64::from(fresh) / rate)
+    let uncached = request.prefill_tokens().saturating_sub(cached);
+    Duration::from_secs_f64(f64::from(uncached) / rate)
 }
 
 /// Returns the number of prompt tokens of a request that an endpoint is known to have cached.
@@ -41,15 +41,15 @@
     let Some(completion) = &request.completion else { return 0 };
     let Some(model) = model_of(state, request.entry) else { return 0 };
     let matches = state.health.prefixes.matches(&completion.block_hashes);
-    let found = matches.iter().find(|(e, _)| *e == endpoint);
-    found.map_or(0, |(_, blocks)| *blocks as u32 * model.block_tokens)
+    let cached = matches.iter().find(|(e, _)| *e == endpoint);
+    cached.map_or(0, |(_, blocks)| *blocks as u32 * model.block_tokens)
 }
 
 /// Returns the hash of a block near the end of a request's prompt, and the number of tokens up to
 /// the end of that block. Both are 0 if there is no such block.
 #[must_use]
 pub fn last_block(view: &View, request: &Request) -> (u64, u32) {
-    let last = request.completion.as_ref().and_then(|d| PrefixIndex::last_sampled(&d.block_hashes));
+    let last = request.completion.as_ref().and_then(|c| PrefixIndex::last_sampled(&c.block_hashes));
     let Some((block, blocks)) = last else { return (0, 0) };
     let target = view.entry(request.entry).map(|e| e.target);
     let model = match target {
@@ -89,7 +89,7 @@
 
 /// Returns by how much the time to first token exceeds its estimate for an entry.
 #[must_use]
-pub fn lags(state: &State, entry: EntryId) -> Overruns {
+pub fn overruns(state: &State, entry: EntryId) -> Overruns {
     let target = state.view.entry(entry).map(|e| e.target);
     target.and_then(|t| state.health.overruns.get(&t)).copied().unwrap_or_default()
 }
--- a/crates/basilbank_core/src/reduce/health.rs
+++ b/crates/basilbank_core/src/reduce/health.rs
@@ -42,10 +42,10 @@
 ) {
     match report {
         EngineReport::Load { running, age, leaving, .. } => {
-            let known = state.health.endpoint_mut(endpoint);
-            known.leaving = *leaving;
-            if known.exclusion.take_if(|a| a.unreachable).is_some() {
-                known.failures = 0;
+            let health = state.health.endpoint_mut(endpoint);
+            health.leaving = *leaving;
+            if health.exclusion.take_if(|e| e.unreachable).is_some() {
+                health.failures = 0;
                 log_endpoint(endpoint, "endpoint_back", out);
             }
             reconcile_ledger(state, now, endpoint, *running, *age);
@@ -76,15 +76,15 @@
     age: Duration,
 ) {
     let Some(ledger) = state.slots.ledgers.get_mut(&endpoint) else { return };
-    let at = now.mono.saturating_sub(age);
-    ledger.reported_load = Some(ReportedLoad { running, measured_at: at });
-    if let Some(learning) = &mut ledger.rebuild {
-        learning.needs_report = false;
+    let measured_at = now.mono.saturating_sub(age);
+    ledger.reported_load = Some(ReportedLoad { running, measured_at });
+    if let Some(rebuild) = &mut ledger.rebuild {
+        rebuild.needs_report = false;
     }
     ledger.finish_rebuild();
     // Leases that ended after the measurement were still running at that time, so they are not
     // unaccounted for.
-    let held = ledger.leases.len() as u32 + ledger.leases_ended_since(at);
+    let held = ledger.leases.len() as u32 + ledger.leases_ended_since(measured_at);
     ledger.unaccounted = running.saturating_sub(held);
 }
 
@@ -97,30 +97,31 @@
     out: &mut Vec<Effect>,
 ) {
     let jitter = 0.5 + 0.5 * state.rng.unit();
-    let known = state.health.endpoint_mut(endpoint);
+    let health = state.health.endpoint_mut(endpoint);
     match failure {
         Failure::Evicted | Failure::TakenOver => return,
         Failure::Full => {
-            known.full_until = Some(now.mono + FULL_PAUSE);
+            health.full_until = Some(now.mono + FULL_PAUSE);
             return;
         }
         Failure::Leaving => {
-            known.exclusion =
+            health.exclusion =
                 Some(Exclusion { until: now.mono + LEAVING_EXCLUSION, unreachable: true });
             return;
         }
         // One end of a transfer can't tell which of the two is at fault: see `on_transfer_stalled`.
         Failure::Stalled => return,
-        Failure::Unreachable => known.failures = (known.failures + 1).max(EXCLUSION_THRESHOLD),
-        Failure::Refused | Failure::Broken => known.failures += 1,
+        Failure::Unreachable => health.failures = (health.failures + 1).max(EXCLUSION_THRESHOLD),
+        Failure::Refused | Failure::Broken => health.failures += 1,
     }
-    if known.failures < EXCLUSION_THRESHOLD || known.exclusion.is_some_and(|a| now.mono < a.until) {
+    if health.failures < EXCLUSION_THRESHOLD || health.exclusion.is_some_and(|e| now.mono < e.until)
+    {
         return;
     }
     let doubled =
-        MIN_EXCLUSION * 2u32.saturating_pow((known.failures - EXCLUSION_THRESHOLD).min(16));
+        MIN_EXCLUSION * 2u32.saturating_pow((health.failures - EXCLUSION_THRESHOLD).min(16));
     let until = now.mono + doubled.min(MAX_EXCLUSION).mul_f64(jitter);
-    known.exclusion = Some(Exclusion { until, unreachable: failure == Failure::Unreachable });
+    health.exclusion = Some(Exclusion { until, unreachable: failure == Failure::Unreachable });
     log_endpoint(endpoint, "endpoint_aside", out);
 }
 
@@ -143,12 +144,12 @@
     if !ledger.record_stall(now.mono, from, other, is_small_fleet) {
         return;
     }
-    let known = state.health.endpoint_mut(endpoint);
-    let is_repeated = now.mono < known.stall_until + STALL_COUNT_RESET;
-    known.stalls = if is_repeated { (known.stalls + 1).min(MAX_STALL_COUNT) } else { 1 };
-    let exclusion = MIN_STALL_EXCLUSION * 2u32.pow(known.stalls - 1);
-    known.stall_until = now.mono + exclusion;
-    known.exclusion = Some(Exclusion { until: known.stall_until, unreachable: false });
+    let health = state.health.endpoint_mut(endpoint);
+    let is_repeated = now.mono < health.stall_until + STALL_COUNT_RESET;
+    health.stalls = if is_repeated { (health.stalls + 1).min(MAX_STALL_COUNT) } else { 1 };
+    let exclusion = MIN_STALL_EXCLUSION * 2u32.pow(health.stalls - 1);
+    health.stall_until = now.mono + exclusion;
+    health.exclusion = Some(Exclusion { until: health.stall_until, unreachable: false });
     log_endpoint(endpoint, "endpoint_aside", out);
 }
 
@@ -163,20 +164,20 @@
     state.timers.set(now.mono + interval, Timer::Loads);
     let has_load_report =
         |id: EndpointId| state.view.endpoint(id).is_some_and(|e| e.role != Role::Plain);
-    let mut read: Vec<_> =
+    let mut to_read: Vec<_> =
         state.slots.ledgers.keys().copied().filter(|e| has_load_report(*e)).collect();
     let mut reinstated = Vec::new();
-    for (endpoint, known) in &state.health.endpoints {
-        let Some(aside) = known.exclusion.filter(|a| a.until <= now.mono) else { continue };
-        if aside.unreachable && has_load_report(*endpoint) {
-            read.push(*endpoint);
+    for (endpoint, health) in &state.health.endpoints {
+        let Some(exclusion) = health.exclusion.filter(|e| e.until <= now.mono) else { continue };
+        if exclusion.unreachable && has_load_report(*endpoint) {
+            to_read.push(*endpoint);
         } else {
             reinstated.push(*endpoint);
         }
     }
-    read.sort_unstable();
-    read.dedup();
-    for endpoint in read {
+    to_read.sort_unstable();
+    to_read.dedup();
+    for endpoint in to_read {
         out.push(Effect::Engine(EngineCall::ReadLoad { endpoint }));
     }
     // Not every exclusion can be ended by a load report; plain services, for example, have none.
--- a/crates/basilbank_core/src/reduce/place.rs
+++ b/crates/basilbank_core/src/reduce/place.rs
@@ -42,28 +42,29 @@
     if request.stage != RequestStage::Waiting {
         return;
     }
-    if request.completion.as_ref().is_some_and(|d| d.resume.is_some()) && request.attempts == 0 {
+    if request.completion.as_ref().is_some_and(|c| c.resume.is_some()) && request.attempts == 0 {
         return resume::start(state, now, key, out);
     }
-    let attempt = state.requests.begin_attempt(key, now.mono);
-    reserve_slots(state, now, attempt, INITIAL_RESERVATIONS, out);
-    state.timers.set(now.mono + WIDEN_DELAY, Timer::Attempt(attempt));
+    let attempt_key = state.requests.begin_attempt(key, now.mono);
+    reserve_slots(state, now, attempt_key, INITIAL_RESERVATIONS, out);
+    state.timers.set(now.mono + WIDEN_DELAY, Timer::Attempt(attempt_key));
     if state
         .requests
         .attempts
-        .get(attempt)
+        .get(attempt_key)
         .is_some_and(|a| a.reservations.is_empty() && a.slot.is_none())
     {
-        retry::on_no_endpoint(state, now, attempt, out);
+        retry::on_no_endpoint(state, now, attempt_key, out);
     }
 }
 
 /// Asks further endpoints after an attempt has waited for a while.
-pub fn widen_search(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    if found.reservations.len() < MAX_RESERVATIONS && found.stage != AttemptStage::WaitingForPrefill
+pub fn widen_search(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    if attempt.reservations.len() < MAX_RESERVATIONS
+        && attempt.stage != AttemptStage::WaitingForPrefill
     {
-        reserve_slots(state, now, attempt, ADDED_RESERVATIONS, out);
+        reserve_slots(state, now, attempt_key, ADDED_RESERVATIONS, out);
     }
 }
 
@@ -71,22 +72,22 @@
 pub fn reserve_slots(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     count: usize,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let request = &state.requests.arena[found.request];
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let request = &state.requests.arena[attempt.request];
     let Some(entry) = state.view.entry(request.entry) else { return };
-    let role = match (entry.target, found.stage) {
+    let role = match (entry.target, attempt.stage) {
         (EntryTarget::Service(_), _) => Role::Plain,
         (EntryTarget::Model(_), AttemptStage::WaitingForPrefill) => Role::Prefill,
         (EntryTarget::Model(_), _) => Role::Decode,
     };
-    let terms = slot_terms(state, now, attempt, role);
-    let criteria = Criteria { target: entry.target, role, attempt, count };
+    let terms = slot_terms(state, now, attempt_key, role);
+    let criteria = Criteria { target: entry.target, role, attempt: attempt_key, count };
     for (_, endpoint) in candidates::choose(state, now, &criteria) {
-        reserve::request_slot(state, now, attempt, endpoint, terms, out);
+        reserve::request_slot(state, now, attempt_key, endpoint, terms, out);
     }
 }
 
@@ -98,25 +99,29 @@
 pub fn reserve_prefill_slots(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let request = &state.requests.arena[found.request];
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let request = &state.requests.arena[attempt.request];
     let (due, entry) = (request.due, request.entry);
     let Some(entry) = state.view.entry(entry) else { return };
-    let criteria =
-        Criteria { target: entry.target, role: Role::Prefill, attempt, count: MAX_RESERVATIONS };
+    let criteria = Criteria {
+        target: entry.target,
+        role: Role::Prefill,
+        attempt: attempt_key,
+        count: MAX_RESERVATIONS,
+    };
     let ranked = candidates::choose(state, now, &criteria);
-    let terms = slot_terms(state, now, attempt, Role::Prefill);
+    let terms = slot_terms(state, now, attempt_key, Role::Prefill);
     let slack = due.saturating_sub(now.mono + terms.lead);
     let max_delay = if slack.is_zero() { MAX_LATE_DELAY } else { slack };
     let min_cost = ranked.first().map_or(Duration::ZERO, |(cost, _)| *cost);
     let delay = |cost: Duration| ((cost - min_cost) * DELAY_FACTOR).min(max_delay);
     let plan = ranked.iter().map(|(cost, endpoint)| (now.mono + delay(*cost), *endpoint));
     let plan = plan.rev().collect();
-    state.requests.attempts[attempt].prefill_plan = plan;
-    reserve_due(state, now, attempt, out);
+    state.requests.attempts[attempt_key].prefill_plan = plan;
+    reserve_due(state, now, attempt_key, out);
 }
 
 /// Asks the next endpoint after all endpoints that were asked have denied a slot, unless
@@ -124,53 +129,54 @@
 pub fn reserve_next(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     max_denials: usize,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    if let Some(next) = found.prefill_plan.last_mut() {
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    if let Some(next) = attempt.prefill_plan.last_mut() {
         next.0 = now.mono;
-        reserve_due(state, now, attempt, out);
-    } else if found.stage != AttemptStage::WaitingForPrefill && found.denied.len() < max_denials {
-        reserve_slots(state, now, attempt, INITIAL_RESERVATIONS, out);
+        reserve_due(state, now, attempt_key, out);
+    } else if attempt.stage != AttemptStage::WaitingForPrefill && attempt.denied.len() < max_denials
+    {
+        reserve_slots(state, now, attempt_key, INITIAL_RESERVATIONS, out);
     }
 }
 
 /// Asks the planned prefill endpoints whose time has come.
-pub fn reserve_due(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let terms = slot_terms(state, now, attempt, Role::Prefill);
+pub fn reserve_due(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let terms = slot_terms(state, now, attempt_key, Role::Prefill);
     loop {
-        let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-        let Some((at, endpoint)) = found.prefill_plan.last().copied() else { return };
+        let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+        let Some((at, endpoint)) = attempt.prefill_plan.last().copied() else { return };
         if now.mono + SIMULTANEOUS_WINDOW < at {
-            return state.timers.set(at, Timer::Attempt(attempt));
+            return state.timers.set(at, Timer::Attempt(attempt_key));
         }
-        found.prefill_plan.pop();
-        reserve::request_slot(state, now, attempt, endpoint, terms, out);
+        attempt.prefill_plan.pop();
+        reserve::request_slot(state, now, attempt_key, endpoint, terms, out);
     }
 }
 
-fn slot_terms(state: &State, now: Now, attempt: AttemptKey, role: Role) -> SlotTerms {
-    let found = &state.requests.attempts[attempt];
-    let request = &state.requests.arena[found.request];
+fn slot_terms(state: &State, now: Now, attempt_key: AttemptKey, role: Role) -> SlotTerms {
+    let attempt = &state.requests.attempts[attempt_key];
+    let request = &state.requests.arena[attempt.request];
     let prefill = estimate::prefill_time(state, request);
     let transfer = estimate::transfer_time(state, request);
-    let lags = estimate::lags(state, request.entry);
-    let (lead, deadline) = match (role, found.stage) {
+    let overruns = estimate::overruns(state, request.entry);
+    let (lead, deadline) = match (role, attempt.stage) {
         (Role::Decode, AttemptStage::Relocating) => {
-            let last = found.kv_cache.as_ref().map_or(now.mono, |c| c.evicted_at);
-            (Duration::ZERO, last.saturating_sub(transfer))
+            let evicted_at = attempt.kv_cache.as_ref().map_or(now.mono, |c| c.evicted_at);
+            (Duration::ZERO, evicted_at.saturating_sub(transfer))
         }
         (Role::Decode, _) => {
-            (prefill + transfer + lags.decode_granted.margin(), request.wait_deadline)
+            (prefill + transfer + overruns.decode_granted.margin(), request.wait_deadline)
         }
         (Role::Prefill, _) => {
-            let lead = prefill + transfer + lags.prefill_started.margin();
+            let lead = prefill + transfer + overruns.prefill_started.margin();
             (lead, decode_hold_deadline(now, request, lead))
         }
         (Role::Plain, _) => {
-            let lead = lags.prefill_started.margin();
+            let lead = overruns.prefill_started.margin();
             (lead, request.wait_deadline.saturating_sub(lead))
         }
     };
@@ -194,13 +200,13 @@
 pub fn on_granted(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     slot: SlotKey,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    let stage = found.stage;
-    let (request, since) = (found.request, found.stage_since);
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    let stage = attempt.stage;
+    let (request, since) = (attempt.request, attempt.stage_since);
     let is_completion = state.requests.arena[request].completion.is_some();
     let role = match stage {
         AttemptStage::WaitingForPrefill => "prefill",
@@ -208,8 +214,8 @@
         _ => "plain",
     };
     match stage {
-        AttemptStage::WaitingForPrefill => found.prefill_slot = Some(slot),
-        _ => found.slot = Some(slot),
+        AttemptStage::WaitingForPrefill => attempt.prefill_slot = Some(slot),
+        _ => attempt.slot = Some(slot),
     }
     let id = state.requests.arena[request].id;
     let waited = now.mono - since;
@@ -220,12 +226,12 @@
         waited,
     }));
     match stage {
-        AttemptStage::WaitingForPrefill => prefill::start(state, now, attempt, out),
-        AttemptStage::Relocating => decode::start_import(state, now, attempt, out),
+        AttemptStage::WaitingForPrefill => prefill::start(state, now, attempt_key, out),
+        AttemptStage::Relocating => decode::start_import(state, now, attempt_key, out),
         AttemptStage::WaitingForSlot if is_completion => {
-            prefill::reserve_slot(state, now, attempt, out);
+            prefill::reserve_slot(state, now, attempt_key, out);
         }
-        AttemptStage::WaitingForSlot => plain::send_call(state, now, attempt, out),
+        AttemptStage::WaitingForSlot => plain::send_call(state, now, attempt_key, out),
         _ => reserve::release(state, slot, out),
     }
 }
--- a/crates/basilbank_core/src/reduce/plain.rs
+++ b/crates/basilbank_core/src/reduce/plain.rs
@@ -18,16 +18,16 @@
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// Calls the service at the endpoint that granted a slot.
-pub fn send_call(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    let Some(slot) = found.slot else { return };
-    found.enter_stage(AttemptStage::Plain, now.mono);
-    let key = found.request;
+pub fn send_call(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    let Some(slot) = attempt.slot else { return };
+    attempt.enter_stage(AttemptStage::Plain, now.mono);
+    let key = attempt.request;
     state.requests.set_served(key);
     let request = &state.requests.arena[key];
-    state.timers.set(now.mono + CALL_TIMEOUT + TIMEOUT_MARGIN, Timer::Attempt(attempt));
+    state.timers.set(now.mono + CALL_TIMEOUT + TIMEOUT_MARGIN, Timer::Attempt(attempt_key));
     out.push(Effect::Engine(EngineCall::Plain {
-        attempt,
+        attempt: attempt_key,
         caller: request.caller,
         request: request.id,
         endpoint: slot.endpoint,
@@ -36,10 +36,10 @@
 }
 
 /// Passes the answer of a plain service on and ends the request.
-pub fn on_answered(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let (key, slot) = (found.request, found.slot);
-    let took = now.mono - found.stage_since;
+pub fn on_answered(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let (key, slot) = (attempt.request, attempt.slot);
+    let duration = now.mono - attempt.stage_since;
     if let Some(entry) = state.view.entry(state.requests.arena[key].entry) {
         state
             .health
@@ -47,14 +47,17 @@
             .entry(entry.target)
             .or_default()
             .prefill_started
-            .add(Duration::ZERO, took);
+            .add(Duration::ZERO, duration);
     }
     if let Some(slot) = slot {
         state.health.endpoint_mut(slot.endpoint).failures = 0;
         reserve::release(state, slot, out);
     }
     let Some(request) = state.requests.remove(key) else { return };
-    out.push(Effect::Answer { caller: request.caller, answer: Answer::Plain { attempt } });
+    out.push(Effect::Answer {
+        caller: request.caller,
+        answer: Answer::Plain { attempt: attempt_key },
+    });
     let ttft = now.mono - request.accepted_at;
     let progress = Progress::FirstToken { request: request.id, entry: request.entry, ttft };
     out.push(Effect::Progress(progress));
--- a/crates/basilbank_core/src/reduce/prefill.rs
+++ b/crates/basilbank_core/src/reduce/prefill.rs
@@ -32,13 +32,13 @@
 }
 
 /// Looks for a prefill slot for an attempt that has its decode slot.
-pub fn reserve_slot(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
-    found.decode_granted = now.mono;
-    place::reserve_prefill_slots(state, now, attempt, out);
-    if state.requests.attempts.get(attempt).is_some_and(|a| a.reservations.is_empty()) {
-        retry::on_no_endpoint(state, now, attempt, out);
+pub fn reserve_slot(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    attempt.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
+    attempt.decode_granted = now.mono;
+    place::reserve_prefill_slots(state, now, attempt_key, out);
+    if state.requests.attempts.get(attempt_key).is_some_and(|a| a.reservations.is_empty()) {
+        retry::on_no_endpoint(state, now, attempt_key, out);
     }
 }
 
@@ -47,33 +47,33 @@
 /// The wait for the prefill slot may have been long. If the decode endpoint has begun to leave in
 /// the meantime, it must not get new work, so the request looks for other slots before any work is
 /// spent on it.
-pub fn start(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let Some(slot) = found.prefill_slot else { return };
-    if found.slot.is_some_and(|decode| state.is_leaving(decode.endpoint)) {
-        return retry::restart_attempt(state, now, attempt, out);
+pub fn start(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let Some(slot) = attempt.prefill_slot else { return };
+    if attempt.slot.is_some_and(|decode| state.is_leaving(decode.endpoint)) {
+        return retry::restart_attempt(state, now, attempt_key, out);
     }
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    found.enter_stage(AttemptStage::Prefill, now.mono);
-    found.prefill_started = now.mono;
-    let request = found.request;
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    attempt.enter_stage(AttemptStage::Prefill, now.mono);
+    attempt.prefill_started = now.mono;
+    let request = attempt.request;
     let expected = state
         .requests
         .arena
         .get(request)
         .map(|r| estimate::prefill_time(state, r) + estimate::transfer_time(state, r));
-    state.requests.attempts[attempt].expected = expected.unwrap_or_default();
+    state.requests.attempts[attempt_key].expected = expected.unwrap_or_default();
     state.requests.set_served(request);
-    let timeout = timeout(state, attempt);
-    state.timers.set(now.mono + timeout, Timer::Attempt(attempt));
-    let call = completion_call(state, attempt, slot.endpoint, timeout);
+    let timeout = timeout(state, attempt_key);
+    state.timers.set(now.mono + timeout, Timer::Attempt(attempt_key));
+    let call = completion_call(state, attempt_key, slot.endpoint, timeout);
     out.push(Effect::Engine(EngineCall::Prefill(call)));
 }
 
 /// Returns the time limit of an attempt's prefill.
 #[must_use]
-pub fn timeout(state: &State, attempt: AttemptKey) -> Duration {
-    let request = state.requests.attempts.get(attempt).map(|a| a.request);
+pub fn timeout(state: &State, attempt_key: AttemptKey) -> Duration {
+    let request = state.requests.attempts.get(attempt_key).map(|a| a.request);
     let request = request.and_then(|r| state.requests.arena.get(r));
     request.map_or(TIMEOUT_MARGIN, |r| {
         estimate::prefill_time(state, r) * TIMEOUT_FACTOR + TIMEOUT_MARGIN
@@ -87,18 +87,18 @@
 #[must_use]
 pub fn completion_call(
     state: &State,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     endpoint: EndpointId,
     timeout: Duration,
 ) -> CompletionCall {
-    let found = &state.requests.attempts[attempt];
-    let request = &state.requests.arena[found.request];
+    let attempt = &state.requests.attempts[attempt_key];
+    let request = &state.requests.arena[attempt.request];
     let class = state.view.entry(request.entry).and_then(|e| state.view.class(e.class));
     CompletionCall {
-        attempt,
+        attempt: attempt_key,
         caller: request.caller,
         request: request.id,
-        attempt_number: found.number,
+        attempt_number: attempt.number,
         endpoint,
         delivered: request.delivered,
         remaining: request.remaining_tokens(),
@@ -111,21 +111,21 @@
 pub fn on_prefilled(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     result: PrefillResult,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    if found.stage != AttemptStage::Prefill {
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    if attempt.stage != AttemptStage::Prefill {
         return;
     }
-    let Some(slot) = found.prefill_slot else { return };
+    let Some(slot) = attempt.prefill_slot else { return };
     let until = now.mono + state.local.tuning.kv_life;
     let endpoint = slot.endpoint;
-    found.kv_cache =
+    attempt.kv_cache =
         Some(KvCache { endpoint, handle: result.handle, bytes: result.bytes, evicted_at: until });
-    found.prefill_time = result.prefill_time;
-    let request = &mut state.requests.arena[found.request];
+    attempt.prefill_time = result.prefill_time;
+    let request = &mut state.requests.arena[attempt.request];
     request.may_have_run = true;
     if request.delivered == 0 {
         request.prompt_tokens = result.prompt_tokens;
@@ -137,5 +137,5 @@
         }
     }
     state.health.endpoint_mut(endpoint).failures = 0;
-    decode::start_import(state, now, attempt, out);
+    decode::start_import(state, now, attempt_key, out);
 }
--- a/crates/basilbank_core/src/reduce/queue.rs
+++ b/crates/basilbank_core/src/reduce/queue.rs
@@ -92,17 +92,18 @@
 pub fn estimate_wait(ledger: &Ledger, view: &View, key: SlotKey, now: Now) -> Option<Duration> {
     let waiter = ledger.waiting.get(key)?;
     let (group, ahead) = ledger.waiting.position(key)?;
-    let before = count_served_before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
-    let wait = ledger.slot_interval? * (1 + before);
-    let drought = ledger.late_wait(now.mono);
-    Some(if group == Group::Late { wait.max(drought) } else { wait })
+    let served_before =
+        count_served_before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
+    let wait = ledger.slot_interval? * (1 + served_before);
+    let late_wait = ledger.late_wait(now.mono);
+    Some(if group == Group::Late { wait.max(late_wait) } else { wait })
 }
 
 /// Removes the reservations that can't be served before their deadlines. Also returns how long a
 /// new reservation would wait behind all others.
 #[must_use]
 pub fn remove_infeasible(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
-    let Some(pace) = ledger.slot_interval else { return Default::default() };
+    let Some(slot_interval) = ledger.slot_interval else { return Default::default() };
     let mut waiting = std::mem::take(&mut ledger.waiting);
     if waiting.queues().any(|(_, queue)| queue.has_group(Group::Late)) {
         ledger.record_late_wait(now.mono);
@@ -110,11 +111,11 @@
     // Reservations that are in time are served before late ones and keep arriving, so their current
     // number says little about when a late one is served. The time since a late one was last served
     // says more.
-    let drought = ledger.late_wait(now.mono);
+    let late_wait = ledger.late_wait(now.mono);
     let infeasible = waiting.remove_matching(|waiting, waiter, group, ahead| {
-        let before = count_served_before(ledger, waiting, view, waiter.entry, group, ahead);
-        let wait = pace * (1 + before);
-        let wait = if group == Group::Late { wait.max(drought) } else { wait };
+        let served_before = count_served_before(ledger, waiting, view, waiter.entry, group, ahead);
+        let wait = slot_interval * (1 + served_before);
+        let wait = if group == Group::Late { wait.max(late_wait) } else { wait };
         waiter.deadline < now.mono + wait
     });
     ledger.waiting = waiting;
@@ -132,14 +133,18 @@
     if !ledger.resumable || 0 < ledger.free_slots() {
         return Vec::new();
     }
-    let soon = now.mono + ledger.lease_end_interval(now.mono) * LIKELY_FREE_FACTOR;
+    let likely_free_by = now.mono + ledger.lease_end_interval(now.mono) * LIKELY_FREE_FACTOR;
     let urgent: usize = ledger
         .waiting
         .queues()
         .map(|(e, queue)| {
             let share = FairShare::of(ledger, view, e);
             let unused = (share.owed - share.used).max(0.0) as usize;
-            queue.iter().take(unused).filter(|(group, w)| is_urgent(*group, w, now, soon)).count()
+            queue
+                .iter()
+                .take(unused)
+                .filter(|(group, w)| is_urgent(*group, w, now, likely_free_by))
+                .count()
         })
         .sum();
     let is_pending =
@@ -157,10 +162,10 @@
 
 /// Returns whether a slot is taken back for a reservation: it has used up much of its time, and it
 /// is due before a slot is likely to become free.
-fn is_urgent(group: Group, waiter: &Waiter, now: Now, soon: Duration) -> bool {
+fn is_urgent(group: Group, waiter: &Waiter, now: Now, likely_free_by: Duration) -> bool {
     let min_wait = waiter.due.saturating_sub(waiter.arrived_at) / URGENT_WAIT_DIVISOR;
     let has_waited = waiter.arrived_at + min_wait <= now.mono;
-    group != Group::Late && waiter.can_preempt && has_waited && waiter.due < soon
+    group != Group::Late && waiter.can_preempt && has_waited && waiter.due < likely_free_by
 }
 
 fn select_victim(ledger: &Ledger, view: &View) -> Option<SlotKey> {
@@ -199,10 +204,10 @@
     }
     let usage_ratio = used / share.weight;
     let others = waiting.queues().filter(|(other, _)| *other != entry);
-    let turns = others.map(|(other, queue)| {
+    let served = others.map(|(other, queue)| {
         let share = FairShare::of(ledger, view, other);
-        let turns = (usage_ratio * share.weight - share.used).ceil().max(0.0);
-        turns.min(queue.count_up_to(group) as f64)
+        let served = (usage_ratio * share.weight - share.used).ceil().max(0.0);
+        served.min(queue.count_up_to(group) as f64)
     });
-    ahead as u32 + turns.sum::<f64>() as u32
+    ahead as u32 + served.sum::<f64>() as u32
 }
--- a/crates/basilbank_core/src/reduce/reserve.rs
+++ b/crates/basilbank_core/src/reduce/reserve.rs
@@ -36,29 +36,29 @@
 pub fn request_slot(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     endpoint: EndpointId,
     terms: SlotTerms,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let cached = match found.stage {
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let cached = match attempt.stage {
         AttemptStage::WaitingForPrefill => {
-            estimate::cached_tokens(state, &state.requests.arena[found.request], endpoint)
+            estimate::cached_tokens(state, &state.requests.arena[attempt.request], endpoint)
         }
         _ => 0,
     };
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    let request = &state.requests.arena[found.request];
-    let key = SlotKey { endpoint, request: request.id, attempt: found.number };
-    if found.reservations.contains(&key) {
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    let request = &state.requests.arena[attempt.request];
+    let key = SlotKey { endpoint, request: request.id, attempt: attempt.number };
+    if attempt.reservations.contains(&key) {
         return;
     }
-    found.reservations.push(key);
-    let first = found.reservations.len() == 1 && found.denied.is_empty();
+    attempt.reservations.push(key);
+    let is_first = attempt.reservations.len() == 1 && attempt.denied.is_empty();
     let own = OwnSlot {
-        attempt,
-        is_first: first,
+        attempt: attempt_key,
+        is_first,
         entry: request.entry,
         tokens: terms.tokens.saturating_sub(cached),
         transfer_tokens: terms.transfer_tokens,
@@ -129,41 +129,41 @@
 }
 
 /// Withdraws all waiting reservations of an attempt.
-pub fn withdraw(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    for key in std::mem::take(&mut found.reservations) {
+pub fn withdraw(state: &mut State, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    for key in std::mem::take(&mut attempt.reservations) {
         release(state, key, out);
     }
 }
 
 /// Gives an attempt a new key and number. It keeps its slots, under the keys they were granted
 /// with.
-pub fn renew_attempt(state: &mut State, attempt: AttemptKey) -> AttemptKey {
-    let attempt = state.requests.renew_attempt(attempt);
-    let found = &state.requests.attempts[attempt];
-    for slot in [found.slot, found.prefill_slot].into_iter().flatten() {
+pub fn renew_attempt(state: &mut State, attempt_key: AttemptKey) -> AttemptKey {
+    let attempt_key = state.requests.renew_attempt(attempt_key);
+    let attempt = &state.requests.attempts[attempt_key];
+    for slot in [attempt.slot, attempt.prefill_slot].into_iter().flatten() {
         if let Some(own) = state.slots.own.get_mut(&slot) {
-            own.attempt = attempt;
+            own.attempt = attempt_key;
         }
     }
-    attempt
+    attempt_key
 }
 
 /// Registers a slot that is used without having been requested, for a stream that is resumed.
 pub fn adopt_slot(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     endpoint: EndpointId,
     entry: EntryId,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get_mut(attempt) else { return };
-    let request = state.requests.arena[found.request].id;
-    let key = SlotKey { endpoint, request, attempt: found.number };
-    found.slot = Some(key);
+    let Some(attempt) = state.requests.attempts.get_mut(attempt_key) else { return };
+    let request = state.requests.arena[attempt.request].id;
+    let key = SlotKey { endpoint, request, attempt: attempt.number };
+    attempt.slot = Some(key);
     let own = OwnSlot {
-        attempt,
+        attempt: attempt_key,
         is_first: false,
         entry,
         tokens: 0,
@@ -185,9 +185,9 @@
         request: RequestId(grant.request),
         attempt: grant.attempt,
     };
-    let known = state.health.endpoint_mut(key.endpoint);
-    known.free_slots = Some((grant.free, now.mono));
-    known.full_until = None;
+    let health = state.health.endpoint_mut(key.endpoint);
+    health.free_slots = Some((grant.free, now.mono));
+    health.full_until = None;
     let Some(own) = state.slots.own.get_mut(&key) else {
         // The request has taken another slot or ended. Without this release, the slot would stay
         // leased until the owner receives the next list of held slots.
@@ -198,14 +198,14 @@
         return;
     }
     own.is_held = true;
-    let attempt = own.attempt;
+    let attempt_key = own.attempt;
     state.slots.known_owners.insert(key.endpoint, from);
-    if let Some(found) = state.requests.attempts.get_mut(attempt) {
-        found.reservations.retain(|a| *a != key);
-        found.prefill_plan.clear();
+    if let Some(attempt) = state.requests.attempts.get_mut(attempt_key) {
+        attempt.reservations.retain(|a| *a != key);
+        attempt.prefill_plan.clear();
     }
-    withdraw(state, attempt, out);
-    place::on_granted(state, now, attempt, key, out);
+    withdraw(state, attempt_key, out);
+    place::on_granted(state, now, attempt_key, key, out);
 }
 
 /// Handles the denial of a slot.
@@ -215,27 +215,27 @@
         request: RequestId(deny.request),
         attempt: deny.attempt,
     };
-    let retry = Duration::from_millis(deny.retry.into());
+    let retry_after = Duration::from_millis(deny.retry.into());
     let reason = deny.reason();
     let is_full = matches!(reason, DenyReason::Full | DenyReason::Owed);
     if is_full {
-        state.health.endpoint_mut(key.endpoint).full_until = Some(now.mono + retry);
+        state.health.endpoint_mut(key.endpoint).full_until = Some(now.mono + retry_after);
     }
     let is_waiting = state.slots.own.get(&key).is_some_and(|own| !own.is_held);
     if !is_waiting {
         return;
     }
     let Some(own) = state.slots.own.remove(&key) else { return };
-    let Some(found) = state.requests.attempts.get_mut(own.attempt) else { return };
-    found.reservations.retain(|a| *a != key);
-    found.denied.push(key.endpoint);
-    if !found.reservations.is_empty() {
+    let Some(attempt) = state.requests.attempts.get_mut(own.attempt) else { return };
+    attempt.reservations.retain(|a| *a != key);
+    attempt.denied.push(key.endpoint);
+    if !attempt.reservations.is_empty() {
         return;
     }
     let max_denials = if is_full { MAX_FULL_DENIALS } else { usize::MAX };
     place::reserve_next(state, now, own.attempt, max_denials, out);
     if state.requests.attempts.get(own.attempt).is_some_and(|a| a.reservations.is_empty()) {
-        retry::on_all_denied(state, now, own.attempt, reason, retry, out);
+        retry::on_all_denied(state, now, own.attempt, reason, retry_after, out);
     }
 }
 
@@ -253,13 +253,13 @@
 /// Sends waiting reservations again, and renews held slots.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let waiting = state.slots.own.iter().filter(|(_, own)| !own.is_held);
-    let stale = waiting
+    let to_resend = waiting
         .filter(|(_, own)| own.asked_at + RESEND_INTERVAL * own.ask_count.min(5) <= now.mono);
-    let stale: Vec<_> = stale.map(|(key, own)| (*key, own.attempt)).collect();
-    for (key, attempt) in stale {
-        log_queued(state, attempt, key, out);
+    let to_resend: Vec<_> = to_resend.map(|(key, own)| (*key, own.attempt)).collect();
+    for (key, attempt_key) in to_resend {
+        log_queued(state, attempt_key, key, out);
         send_reservation(state, now, key, out);
-        place::widen_search(state, now, attempt, out);
+        place::widen_search(state, now, attempt_key, out);
     }
     if state.slots.reported_at + state.local.tuning.slot_lease / 3 <= now.mono {
         state.slots.reported_at = now.mono;
@@ -267,10 +267,13 @@
     }
 }
 
-fn log_queued(state: &State, attempt: AttemptKey, key: SlotKey, out: &mut Vec<Effect>) {
-    let first =
-        state.requests.attempts.get(attempt).is_some_and(|a| a.reservations.first() == Some(&key));
-    if first && state.slots.own[&key].ask_count == 1 {
+fn log_queued(state: &State, attempt_key: AttemptKey, key: SlotKey, out: &mut Vec<Effect>) {
+    let is_first = state
+        .requests
+        .attempts
+        .get(attempt_key)
+        .is_some_and(|a| a.reservations.first() == Some(&key));
+    if is_first && state.slots.own[&key].ask_count == 1 {
         out.push(Effect::Progress(Progress::Queued { request: key.request }));
     }
 }
@@ -314,10 +317,10 @@
 /// Handles a change of members, which may change the owners of endpoints: sends new owners the held
 /// slots and the waiting reservations without delay.
 pub fn on_members_changed(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let known = &state.slots.known_owners;
-    let moved = known.iter().filter(|(e, vm)| state.members.owner(e.0) != Some(**vm));
-    let moved: Vec<_> = moved.map(|(endpoint, _)| *endpoint).collect();
-    for endpoint in moved {
+    let known_owners = &state.slots.known_owners;
+    let changed = known_owners.iter().filter(|(e, vm)| state.members.owner(e.0) != Some(**vm));
+    let changed: Vec<_> = changed.map(|(endpoint, _)| *endpoint).collect();
+    for endpoint in changed {
         send_holds(state, endpoint, out);
     }
     let waiting = state.slots.own.iter().filter(|(_, own)| !own.is_held);
--- a/crates/basilbank_core/src/reduce/resume.rs
+++ b/crates/basilbank_core/src/reduce/resume.rs
@@ -17,19 +17,19 @@
     let request = &mut state.requests.arena[key];
     request.may_have_run = true;
     let entry = request.entry;
-    let resume = request.completion.as_ref().and_then(|d| d.resume.clone());
-    let known = resume.filter(|r| state.view.endpoint(r.endpoint).is_some());
-    let Some(resume) = known else {
+    let resume = request.completion.as_ref().and_then(|c| c.resume.clone());
+    let valid = resume.filter(|r| state.view.endpoint(r.endpoint).is_some());
+    let Some(resume) = valid else {
         return end_missing_stream(state, now, key, out);
     };
-    let attempt = state.requests.begin_attempt(key, now.mono);
+    let attempt_key = state.requests.begin_attempt(key, now.mono);
     state.requests.set_served(key);
-    let found = &mut state.requests.attempts[attempt];
-    found.resumed = true;
-    found.next_offset = resume.offset;
-    found.stream = Some(resume.stream);
-    reserve::adopt_slot(state, now, attempt, resume.endpoint, entry, out);
-    read_stream(state, now, attempt, out);
+    let attempt = &mut state.requests.attempts[attempt_key];
+    attempt.resumed = true;
+    attempt.next_offset = resume.offset;
+    attempt.stream = Some(resume.stream);
+    reserve::adopt_slot(state, now, attempt_key, resume.endpoint, entry, out);
+    read_stream(state, now, attempt_key, out);
 }
 
 /// Ends a request whose stream no longer exists.
@@ -46,26 +46,26 @@
 }
 
 /// Reads an attempt's stream again, from the first missing token.
-pub fn reread_stream(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let attempt = reserve::renew_attempt(state, attempt);
-    state.requests.attempts[attempt].rereads += 1;
-    read_stream(state, now, attempt, out);
+pub fn reread_stream(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let attempt_key = reserve::renew_attempt(state, attempt_key);
+    state.requests.attempts[attempt_key].rereads += 1;
+    read_stream(state, now, attempt_key, out);
 }
 
-fn read_stream(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let found = &mut state.requests.attempts[attempt];
-    found.enter_stage(AttemptStage::Stream, now.mono);
-    found.last_progress = now.mono;
-    let (Some(slot), Some(stream)) = (found.slot, found.stream.clone()) else { return };
-    let request = &state.requests.arena[found.request];
+fn read_stream(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let attempt = &mut state.requests.attempts[attempt_key];
+    attempt.enter_stage(AttemptStage::Stream, now.mono);
+    attempt.last_progress = now.mono;
+    let (Some(slot), Some(stream)) = (attempt.slot, attempt.stream.clone()) else { return };
+    let request = &state.requests.arena[attempt.request];
     let call = EngineCall::Resume {
-        attempt,
+        attempt: attempt_key,
         caller: request.caller,
         request: request.id,
         endpoint: slot.endpoint,
         stream,
-        offset: found.next_offset,
+        offset: attempt.next_offset,
     };
     out.push(Effect::Engine(call));
-    state.timers.set(now.mono + state.local.tuning.stall, Timer::Attempt(attempt));
+    state.timers.set(now.mono + state.local.tuning.stall, Timer::Attempt(attempt_key));
 }
--- a/crates/basilbank_core/src/reduce/retry.rs
+++ b/crates/basilbank_core/src/reduce/retry.rs
@@ -27,26 +27,26 @@
 pub fn on_failed(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     failure: Failure,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let stage = found.stage;
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let stage = attempt.stage;
     if failure == Failure::TakenOver && stage == AttemptStage::Stream {
-        return on_taken_over(state, now, attempt, out);
+        return on_taken_over(state, now, attempt_key, out);
     }
-    let cache = found.kv_cache.as_ref().map(|c| c.endpoint);
-    let blamed = if failure == Failure::Evicted { cache } else { found.endpoint() };
-    state.requests.arena[found.request].failed_endpoints.extend(blamed);
-    if let Some(endpoint) = found.endpoint() {
+    let cache = attempt.kv_cache.as_ref().map(|c| c.endpoint);
+    let failed_endpoint = if failure == Failure::Evicted { cache } else { attempt.endpoint() };
+    state.requests.arena[attempt.request].failed_endpoints.extend(failed_endpoint);
+    if let Some(endpoint) = attempt.endpoint() {
         health::record_failure(state, now, endpoint, failure, out);
     }
     match stage {
-        AttemptStage::Prefill => on_prefill_failed(state, now, attempt, failure, out),
-        AttemptStage::Import => on_import_failed(state, now, attempt, failure, out),
-        AttemptStage::Stream => on_stream_failed(state, now, attempt, failure, out),
-        AttemptStage::Plain => on_plain_failed(state, now, attempt, failure, out),
+        AttemptStage::Prefill => on_prefill_failed(state, now, attempt_key, failure, out),
+        AttemptStage::Import => on_import_failed(state, now, attempt_key, failure, out),
+        AttemptStage::Stream => on_stream_failed(state, now, attempt_key, failure, out),
+        AttemptStage::Plain => on_plain_failed(state, now, attempt_key, failure, out),
         AttemptStage::WaitingForSlot
         | AttemptStage::WaitingForPrefill
         | AttemptStage::Relocating => {}
@@ -55,27 +55,27 @@
 
 /// Handles an attempt's timer: fails the attempt if its time limit has passed, else sets the timer
 /// again.
-pub fn on_timeout(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let stage = found.stage;
+pub fn on_timeout(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let stage = attempt.stage;
     let deadline = match stage {
-        AttemptStage::WaitingForSlot => return place::widen_search(state, now, attempt, out),
-        AttemptStage::WaitingForPrefill => return place::reserve_due(state, now, attempt, out),
-        AttemptStage::Prefill => found.stage_since + prefill::timeout(state, attempt),
+        AttemptStage::WaitingForSlot => return place::widen_search(state, now, attempt_key, out),
+        AttemptStage::WaitingForPrefill => return place::reserve_due(state, now, attempt_key, out),
+        AttemptStage::Prefill => attempt.stage_since + prefill::timeout(state, attempt_key),
         AttemptStage::Relocating => {
-            found.kv_cache.as_ref().map_or(found.stage_since, |c| c.evicted_at)
+            attempt.kv_cache.as_ref().map_or(attempt.stage_since, |c| c.evicted_at)
         }
-        AttemptStage::Import => found.stage_since + decode::import_timeout(state, attempt),
-        AttemptStage::Stream => found.last_progress + state.local.tuning.stall,
-        AttemptStage::Plain => found.stage_since + crate::reduce::plain::CALL_TIMEOUT,
+        AttemptStage::Import => attempt.stage_since + decode::import_timeout(state, attempt_key),
+        AttemptStage::Stream => attempt.last_progress + state.local.tuning.stall,
+        AttemptStage::Plain => attempt.stage_since + crate::reduce::plain::CALL_TIMEOUT,
     };
     if now.mono < deadline {
-        return state.timers.set(deadline, Timer::Attempt(attempt));
+        return state.timers.set(deadline, Timer::Attempt(attempt_key));
     }
     match stage {
-        AttemptStage::Relocating => on_cache_evicted(state, now, attempt, out),
-        AttemptStage::Import => on_failed(state, now, attempt, Failure::Stalled, out),
-        _ => on_failed(state, now, attempt, Failure::Broken, out),
+        AttemptStage::Relocating => on_cache_evicted(state, now, attempt_key, out),
+        AttemptStage::Import => on_failed(state, now, attempt_key, Failure::Stalled, out),
+        _ => on_failed(state, now, attempt_key, Failure::Broken, out),
     }
 }
 
@@ -97,40 +97,40 @@
 fn on_prefill_failed(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     failure: Failure,
     out: &mut Vec<Effect>,
 ) {
-    let key = state.requests.attempts[attempt].request;
+    let key = state.requests.attempts[attempt_key].request;
     if !proves_not_run(failure) {
-        waste::record_prefill(state, now, attempt, Waste::PrefillFailed, out);
-        settle::cancel_at_endpoints(state, attempt, out);
+        waste::record_prefill(state, now, attempt_key, Waste::PrefillFailed, out);
+        settle::cancel_at_endpoints(state, attempt_key, out);
         let request = &mut state.requests.arena[key];
         request.may_have_run = true;
         if !request.repeatable {
             return settle::end_as_unknown(state, now, key, out);
         }
     }
-    if let Some(slot) = state.requests.attempts[attempt].prefill_slot.take() {
+    if let Some(slot) = state.requests.attempts[attempt_key].prefill_slot.take() {
         reserve::release_failed(state, slot, failure, out);
     }
     let retry = retry_reason(failure, Retry::PrefillFailed);
-    retry_prefill(state, now, attempt, retry, out);
+    retry_prefill(state, now, attempt_key, retry, out);
 }
 
 /// Looks for another prefill endpoint and keeps the decode slot.
 fn retry_prefill(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     retry: Retry,
     out: &mut Vec<Effect>,
 ) {
-    let found = &mut state.requests.attempts[attempt];
-    let key = found.request;
-    found.kv_cache = None;
-    found.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
-    if let Some(slot) = found.prefill_slot.take() {
+    let attempt = &mut state.requests.attempts[attempt_key];
+    let key = attempt.request;
+    attempt.kv_cache = None;
+    attempt.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
+    if let Some(slot) = attempt.prefill_slot.take() {
         reserve::release(state, slot, out);
     }
     if !take_retry(state, key) {
@@ -138,25 +138,25 @@
     }
     log_retry(state, key, retry, Duration::ZERO, out);
     state.requests.set_queued(key);
-    let attempt = reserve::renew_attempt(state, attempt);
-    prefill::reserve_slot(state, now, attempt, out);
+    let attempt_key = reserve::renew_attempt(state, attempt_key);
+    prefill::reserve_slot(state, now, attempt_key, out);
 }
 
 fn on_import_failed(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     failure: Failure,
     out: &mut Vec<Effect>,
 ) {
-    let key = state.requests.attempts[attempt].request;
+    let key = state.requests.attempts[attempt_key].request;
     let is_repeatable = state.requests.arena[key].repeatable;
     if failure == Failure::Evicted {
-        waste::record_prefill(state, now, attempt, Waste::Evicted, out);
+        waste::record_prefill(state, now, attempt_key, Waste::Evicted, out);
         if !is_repeatable {
             return settle::end_as_unknown(state, now, key, out);
         }
-        return retry_prefill(state, now, attempt, Retry::Evicted, out);
+        return retry_prefill(state, now, attempt_key, Retry::Evicted, out);
     }
     if !proves_not_run(failure) {
         if !is_repeatable {
@@ -164,27 +164,32 @@
         }
         // The endpoint may have started despite the failure. If the KV cache still exists it is
         // used elsewhere, so only the decode side is cancelled.
-        cancel_decode(state, attempt, out);
+        cancel_decode(state, attempt_key, out);
     }
     if !take_retry(state, key) {
-        waste::record_prefill(state, now, attempt, Waste::DecodeFailed, out);
+        waste::record_prefill(state, now, attempt_key, Waste::DecodeFailed, out);
         return settle::give_up(state, now, key, Refusal::RetriesExhausted, None, out);
     }
     log_retry(state, key, retry_reason(failure, Retry::DecodeDied), Duration::ZERO, out);
-    decode::relocate(state, now, attempt, failure, out);
+    decode::relocate(state, now, attempt_key, failure, out);
 }
 
-fn cancel_decode(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let cache = state.requests.attempts[attempt].kv_cache.take();
-    settle::cancel_at_endpoints(state, attempt, out);
-    state.requests.attempts[attempt].kv_cache = cache;
+fn cancel_decode(state: &mut State, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let cache = state.requests.attempts[attempt_key].kv_cache.take();
+    settle::cancel_at_endpoints(state, attempt_key, out);
+    state.requests.attempts[attempt_key].kv_cache = cache;
 }
 
 /// Handles a KV cache for which no decode endpoint was found in time.
-pub fn on_cache_evicted(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let key = state.requests.attempts[attempt].request;
-    waste::record_prefill(state, now, attempt, Waste::Evicted, out);
-    settle::end_attempt(state, attempt, out);
+pub fn on_cache_evicted(
+    state: &mut State,
+    now: Now,
+    attempt_key: AttemptKey,
+    out: &mut Vec<Effect>,
+) {
+    let key = state.requests.attempts[attempt_key].request;
+    waste::record_prefill(state, now, attempt_key, Waste::Evicted, out);
+    settle::end_attempt(state, attempt_key, out);
     if state.requests.arena[key].repeatable {
         retry_after_backoff(state, now, key, Retry::NoSlot, out);
     } else {
@@ -195,16 +200,16 @@
 fn on_stream_failed(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     failure: Failure,
     out: &mut Vec<Effect>,
 ) {
-    let found = &state.requests.attempts[attempt];
+    let attempt = &state.requests.attempts[attempt_key];
     let may_be_alive = matches!(failure, Failure::Broken | Failure::Stalled);
-    if may_be_alive && found.stream.is_some() && found.rereads < resume::MAX_REREADS {
-        return resume::reread_stream(state, now, attempt, out);
+    if may_be_alive && attempt.stream.is_some() && attempt.rereads < resume::MAX_REREADS {
+        return resume::reread_stream(state, now, attempt_key, out);
     }
-    on_stream_lost(state, now, attempt, Waste::DecodeFailed, out);
+    on_stream_lost(state, now, attempt_key, Waste::DecodeFailed, out);
 }
 
 /// Ends an attempt whose stream is now read through another call, by its caller or by another one
@@ -213,11 +218,11 @@
 /// Reading it again here would take it back: the two readers would interrupt each other, and the
 /// one whose caller has left would cancel the stream under the other, which shows as an answer that
 /// stops without a reason in the endpoint's log. This side therefore ends and cancels nothing.
-fn on_taken_over(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let found = &mut state.requests.attempts[attempt];
-    let key = found.request;
-    found.stream = None;
-    found.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
+fn on_taken_over(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let attempt = &mut state.requests.attempts[attempt_key];
+    let key = attempt.request;
+    attempt.stream = None;
+    attempt.enter_stage(AttemptStage::WaitingForPrefill, now.mono);
     claim::forget_handed_over(state, key);
     settle::end_as_unknown(state, now, key, out);
 }
@@ -226,14 +231,14 @@
 pub fn on_stream_lost(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     waste: Waste,
     out: &mut Vec<Effect>,
 ) {
-    let found = &state.requests.attempts[attempt];
-    let (key, resumed) = (found.request, found.resumed);
-    waste::record_prefill(state, now, attempt, waste, out);
-    settle::end_attempt(state, attempt, out);
+    let attempt = &state.requests.attempts[attempt_key];
+    let (key, resumed) = (attempt.request, attempt.resumed);
+    waste::record_prefill(state, now, attempt_key, waste, out);
+    settle::end_attempt(state, attempt_key, out);
     let request = &mut state.requests.arena[key];
     request.may_have_run = true;
     if 0 < request.delivered && request.remaining_tokens() == 0 {
@@ -271,19 +276,19 @@
 pub fn on_preempted(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     slot: SlotKey,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let is_repeatable = state.requests.arena[found.request].repeatable;
-    if found.slot != Some(slot) {
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let is_repeatable = state.requests.arena[attempt.request].repeatable;
+    if attempt.slot != Some(slot) {
         return;
     }
-    let key = found.request;
-    match found.stage {
-        AttemptStage::Stream if is_repeatable && !found.resumed => {
-            on_stream_lost(state, now, attempt, Waste::Preempted, out);
+    let key = attempt.request;
+    match attempt.stage {
+        AttemptStage::Stream if is_repeatable && !attempt.resumed => {
+            on_stream_lost(state, now, attempt_key, Waste::Preempted, out);
         }
         AttemptStage::WaitingForPrefill => {
             log_retry(state, key, Retry::Preempted, PREFILL_RETRY_PAUSE, out);
@@ -298,20 +303,20 @@
 fn on_plain_failed(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     failure: Failure,
     out: &mut Vec<Effect>,
 ) {
-    let key = state.requests.attempts[attempt].request;
+    let key = state.requests.attempts[attempt_key].request;
     if !proves_not_run(failure) {
         state.requests.arena[key].may_have_run = true;
         if !state.requests.arena[key].repeatable {
             return settle::end_as_unknown(state, now, key, out);
         }
     }
-    if let Some(slot) = state.requests.attempts[attempt].slot {
+    if let Some(slot) = state.requests.attempts[attempt_key].slot {
         reserve::release_failed(state, slot, failure, out);
     }
-    settle::end_attempt(state, attempt, out);
+    settle::end_attempt(state, attempt_key, out);
     retry_after_backoff(state, now, key, retry_reason(failure, Retry::PlainFailed), out);
 }
--- a/crates/basilbank_core/src/reduce/retry/wait.rs
+++ b/crates/basilbank_core/src/reduce/retry/wait.rs
@@ -30,41 +30,42 @@
 pub fn on_all_denied(
     state: &mut State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     reason: DenyReason,
-    retry: Duration,
+    retry_after: Duration,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let (key, stage) = (found.request, found.stage);
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let (key, stage) = (attempt.request, attempt.stage);
     if stage == AttemptStage::Relocating {
-        return on_cache_evicted(state, now, attempt, out);
+        return on_cache_evicted(state, now, attempt_key, out);
     }
-    let until = state.requests.arena[key].wait_deadline;
+    let wait_deadline = state.requests.arena[key].wait_deadline;
     let is_undecided = !matches!(reason, DenyReason::Full | DenyReason::Owed);
-    if is_undecided && now.mono + UNDECIDED_RETRY_PAUSE < until {
+    if is_undecided && now.mono + UNDECIDED_RETRY_PAUSE < wait_deadline {
         let pause = UNDECIDED_RETRY_PAUSE.mul_f64(0.5 + state.rng.unit());
         return schedule_attempt(state, now, key, pause, out);
     }
-    if stage == AttemptStage::WaitingForPrefill && now.mono + retry.max(PREFILL_RETRY_PAUSE) < until
+    if stage == AttemptStage::WaitingForPrefill
+        && now.mono + retry_after.max(PREFILL_RETRY_PAUSE) < wait_deadline
     {
         // It held a decode slot without using it. Other requests come first now, and it waits
         // behind them.
-        let longest =
+        let mean_pause =
             PREFILL_RETRY_PAUSE * state.requests.arena[key].attempts.min(MAX_PAUSE_FACTOR);
-        let pause = longest.mul_f64(0.5 + state.rng.unit());
+        let pause = mean_pause.mul_f64(0.5 + state.rng.unit());
         log_retry(state, key, Retry::NoSlot, pause, out);
         return schedule_attempt(state, now, key, pause, out);
     }
     let refusal =
         if is_undecided { Refusal::NoEndpoint } else { place::refusal_reason(state, key) };
-    let retry_after = retry.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+    let retry_after = retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
     settle::give_up(state, now, key, refusal, Some(retry_after), out);
 }
 
 /// Handles that no endpoint can be asked: waits and tries again, or gives the request up.
-pub fn on_no_endpoint(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let key = state.requests.attempts[attempt].request;
+pub fn on_no_endpoint(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let key = state.requests.attempts[attempt_key].request;
     let request = &state.requests.arena[key];
     let has_entry = state.view.entry(request.entry).is_some();
     let pause = state.local.tuning.max_backoff.mul_f64(0.5 + 0.5 * state.rng.unit());
@@ -75,9 +76,14 @@
 }
 
 /// Releases an attempt's slots and starts a new attempt, before anything was sent.
-pub fn restart_attempt(state: &mut State, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(key) = state.requests.attempts.get(attempt).map(|a| a.request) else { return };
-    settle::end_attempt(state, attempt, out);
+pub fn restart_attempt(
+    state: &mut State,
+    now: Now,
+    attempt_key: AttemptKey,
+    out: &mut Vec<Effect>,
+) {
+    let Some(key) = state.requests.attempts.get(attempt_key).map(|a| a.request) else { return };
+    settle::end_attempt(state, attempt_key, out);
     state.requests.set_queued(key);
     place::start_attempt(state, now, key, out);
 }
@@ -89,8 +95,8 @@
     pause: Duration,
     out: &mut Vec<Effect>,
 ) {
-    if let Some((attempt, _)) = state.requests.current_attempt(key) {
-        settle::end_attempt(state, attempt, out);
+    if let Some((attempt_key, _)) = state.requests.current_attempt(key) {
+        settle::end_attempt(state, attempt_key, out);
     }
     state.requests.set_queued(key);
     state.timers.set(now.mono + pause, Timer::Request(key));
--- a/crates/basilbank_core/src/reduce/settle.rs
+++ b/crates/basilbank_core/src/reduce/settle.rs
@@ -19,13 +19,13 @@
 /// Handles a caller that disconnected: cancels what is held for it.
 pub fn on_caller_left(state: &mut State, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
     let Some(key) = state.requests.callers.get(&caller).copied() else { return };
-    if let RequestStage::Running(attempt) = state.requests.arena[key].stage {
-        let found = &state.requests.attempts[attempt];
-        let is_read = found.stage == AttemptStage::Stream && 0 < found.next_offset;
-        if !is_read {
-            waste::record_prefill(state, now, attempt, Waste::CallerLeft, out);
+    if let RequestStage::Running(attempt_key) = state.requests.arena[key].stage {
+        let attempt = &state.requests.attempts[attempt_key];
+        let has_tokens = attempt.stage == AttemptStage::Stream && 0 < attempt.next_offset;
+        if !has_tokens {
+            waste::record_prefill(state, now, attempt_key, Waste::CallerLeft, out);
         }
-        end_attempt(state, attempt, out);
+        end_attempt(state, attempt_key, out);
     }
     let Some(request) = state.requests.remove(key) else { return };
     finish_request(state, now, &request, Outcome::Abandoned, out);
@@ -90,39 +90,45 @@
 }
 
 fn end_current_attempt(state: &mut State, key: RequestKey, out: &mut Vec<Effect>) {
-    if let Some((attempt, _)) = state.requests.current_attempt(key) {
-        end_attempt(state, attempt, out);
+    if let Some((attempt_key, _)) = state.requests.current_attempt(key) {
+        end_attempt(state, attempt_key, out);
     }
 }
 
 /// Ends an attempt: cancels what endpoints hold for it, and releases its slots.
-pub fn end_attempt(state: &mut State, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    cancel_at_endpoints(state, attempt, out);
-    reserve::withdraw(state, attempt, out);
-    let Some(found) = state.requests.attempts.remove(attempt) else { return };
-    for slot in [found.slot, found.prefill_slot].into_iter().flatten() {
+pub fn end_attempt(state: &mut State, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    cancel_at_endpoints(state, attempt_key, out);
+    reserve::withdraw(state, attempt_key, out);
+    let Some(attempt) = state.requests.attempts.remove(attempt_key) else { return };
+    for slot in [attempt.slot, attempt.prefill_slot].into_iter().flatten() {
         reserve::release(state, slot, out);
     }
-    if let Some(request) = state.requests.arena.get_mut(found.request) {
+    if let Some(request) = state.requests.arena.get_mut(attempt.request) {
         request.stage = RequestStage::Waiting;
     }
 }
 
 /// Cancels what endpoints hold for an attempt.
-pub fn cancel_at_endpoints(state: &State, attempt: AttemptKey, out: &mut Vec<Effect>) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let request = state.requests.arena[found.request].id;
+pub fn cancel_at_endpoints(state: &State, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let request = state.requests.arena[attempt.request].id;
     let mut push = |endpoint: EndpointId, resource: Option<String>| {
-        out.push(Effect::Engine(EngineCall::Cancel { attempt, endpoint, request, resource }));
+        out.push(Effect::Engine(EngineCall::Cancel {
+            attempt: attempt_key,
+            endpoint,
+            request,
+            resource,
+        }));
     };
-    let (slot, prefill) = (found.slot.map(|s| s.endpoint), found.prefill_slot.map(|s| s.endpoint));
-    match (found.stage, slot, prefill) {
+    let (slot, prefill) =
+        (attempt.slot.map(|s| s.endpoint), attempt.prefill_slot.map(|s| s.endpoint));
+    match (attempt.stage, slot, prefill) {
         (AttemptStage::Prefill, _, Some(endpoint)) => push(endpoint, None),
         (AttemptStage::Import | AttemptStage::Plain, Some(endpoint), _) => push(endpoint, None),
-        (AttemptStage::Stream, Some(endpoint), _) => push(endpoint, found.stream.clone()),
+        (AttemptStage::Stream, Some(endpoint), _) => push(endpoint, attempt.stream.clone()),
         _ => {}
     }
-    if let Some(cache) = &found.kv_cache {
+    if let Some(cache) = &attempt.kv_cache {
         push(cache.endpoint, Some(cache.handle.clone()));
     }
 }
@@ -140,9 +146,10 @@
         let ratio = state.local.tuning.retry_ratio;
         state.requests.retry_budget = (state.requests.retry_budget + ratio).min(MAX_RETRY_BUDGET);
     }
-    let is_resumed = request.completion.as_ref().is_some_and(|d| d.resume.is_some());
-    let prompt = if 0 < request.delivered && !is_resumed { request.prompt_tokens } else { 0 };
-    let unused = request.limit_tokens.saturating_sub(prompt + request.delivered);
+    let is_resumed = request.completion.as_ref().is_some_and(|c| c.resume.is_some());
+    let prompt_tokens =
+        if 0 < request.delivered && !is_resumed { request.prompt_tokens } else { 0 };
+    let unused = request.limit_tokens.saturating_sub(prompt_tokens + request.delivered);
     limit::give_back(state, now, request.entry, unused);
     claim::on_ended(state, request, outcome);
     let streamed = match (request.first_token_at, request.last_token_at) {
@@ -156,7 +163,7 @@
         entry: request.entry,
         outcome,
         duration: now.mono - request.accepted_at,
-        prompt_tokens: prompt,
+        prompt_tokens,
         generated_tokens: request.delivered,
         tbt: streamed / intervals,
     }));
--- a/crates/basilbank_core/src/reduce/waste.rs
+++ b/crates/basilbank_core/src/reduce/waste.rs
@@ -14,15 +14,15 @@
 pub fn record_prefill(
     state: &State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     waste: Waste,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let prefill = match found.stage {
-        AttemptStage::Prefill => now.mono.saturating_sub(found.stage_since),
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let prefill = match attempt.stage {
+        AttemptStage::Prefill => now.mono.saturating_sub(attempt.stage_since),
         AttemptStage::Relocating | AttemptStage::Import | AttemptStage::Stream => {
-            found.prefill_time
+            attempt.prefill_time
         }
         AttemptStage::WaitingForSlot | AttemptStage::WaitingForPrefill | AttemptStage::Plain => {
             Duration::ZERO
@@ -31,7 +31,7 @@
     if prefill.is_zero() {
         return;
     }
-    let request = state.requests.arena[found.request].id;
+    let request = state.requests.arena[attempt.request].id;
     out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens: 0 }));
 }
 
