--- a/crates/basilbank_forward/src/event.rs
+++ b/crates/basilbank_forward/src/event.rs
@@ -61,7 +61,7 @@
         removed: Vec<String>,
     },
     /// The list of endpoints could not be read.
-    StoreLost,
+    EndpointsReadFailed,
     /// The store has no change of a topic with this revision, although a peer reported it.
     RevisionNotFound {
         /// The topic.
@@ -165,7 +165,7 @@
     /// The connection broke after something was sent, or the answer was damaged.
     Broken(Damage),
     /// No answer came within the answer timeout.
-    Silent,
+    TimedOut,
 }
 
 impl Outcome {
@@ -183,7 +183,7 @@
             Outcome::NotRun(NotRun::Other { .. }) => "not_run",
             Outcome::Unreachable => "unreachable",
             Outcome::Broken(_) => "broken",
-            Outcome::Silent => "silent",
+            Outcome::TimedOut => "silent",
         }
     }
 }
@@ -194,9 +194,9 @@
     /// The connection ended before the answer's header.
     Closed,
     /// The received data is not valid HTTP.
-    Garbled,
+    InvalidHttp,
     /// The answer carries another call's id, or lacks the mark that endpoints' answers carry.
-    Foreign,
+    Mismatched,
     /// The answer broke off before its end, or stalled.
     CutOff,
 }
@@ -207,8 +207,8 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Damage::Closed => "closed",
-            Damage::Garbled => "garbled",
-            Damage::Foreign => "foreign",
+            Damage::InvalidHttp => "garbled",
+            Damage::Mismatched => "foreign",
             Damage::CutOff => "cut_off",
         }
     }
--- a/crates/basilbank_forward/src/reason.rs
+++ b/crates/basilbank_forward/src/reason.rs
@@ -70,12 +70,12 @@
         /// The connection broke, or the answer was damaged.
         Broken = "broken",
         /// No answer came within the answer timeout.
-        Silent = "silent",
+        TimedOut = "silent",
         /// The endpoint answered with a server error.
         ServerError = "server_error",
         /// A second endpoint is asked while the first one is still working.
         Hedge = "hedge",
         /// The KV cache no longer exists.
-        KvGone = "kv_gone",
+        KvLost = "kv_gone",
     }
 );
--- a/crates/basilbank_forward/src/reduce.rs
+++ b/crates/basilbank_forward/src/reduce.rs
@@ -62,7 +62,7 @@
         Event::EndpointsChanged { revisions, updated, removed } => {
             endpoints::apply_changes(&mut ctx, revisions, updated, &removed);
         }
-        Event::StoreLost => endpoints::handle_read_failure(&mut ctx),
+        Event::EndpointsReadFailed => endpoints::handle_read_failure(&mut ctx),
         Event::RevisionNotFound { topic, revision } => {
             gossip::handle_missing_revision(&mut ctx, topic, revision);
         }
--- a/crates/basilbank_forward/src/reduce/outcome.rs
+++ b/crates/basilbank_forward/src/reduce/outcome.rs
@@ -51,9 +51,9 @@
             handle_not_run(ctx, id, &live, matches!(reason, NotRun::Busy { .. }));
         }
         Outcome::Unreachable => handle_not_run(ctx, id, &live, false),
-        Outcome::Broken(_) | Outcome::Silent => {
+        Outcome::Broken(_) | Outcome::TimedOut => {
             crash::handle_broken_attempt(ctx, id, &live);
-            handle_broken(ctx, id, &live, outcome == Outcome::Silent);
+            handle_broken(ctx, id, &live, outcome == Outcome::TimedOut);
         }
     }
 }
@@ -61,7 +61,7 @@
 /// Updates what is known about the endpoint from the outcome.
 fn update_endpoint(ctx: &mut Context<'_>, live: &Live, outcome: &Outcome) {
     match outcome {
-        Outcome::Unreachable | Outcome::Silent => {
+        Outcome::Unreachable | Outcome::TimedOut => {
             return suspect::mark_unreachable(ctx, live.endpoint);
         }
         Outcome::Finished | Outcome::Broken(_) => {}
@@ -71,7 +71,7 @@
     let Some(endpoint) = ctx.state.directory.get_mut(live.endpoint) else { return };
     match outcome {
         Outcome::Held { .. } => endpoint.accepted(),
-        Outcome::Finished | Outcome::Unreachable | Outcome::Silent => {}
+        Outcome::Finished | Outcome::Unreachable | Outcome::TimedOut => {}
         Outcome::Prefilled { .. } => {
             let expected = f64::from(live.ahead) / tuning.prefill_rate;
             endpoint.read(now.saturating_sub(live.began), expected);
--- a/crates/basilbank_forward/tests/forward/addresses.rs
+++ b/crates/basilbank_forward/tests/forward/addresses.rs
@@ -187,7 +187,7 @@
     rig.list(vec![plain("a", 1), plain("b", 2)]);
     let calls: Vec<_> = (0..4).map(|_| rig.call("/stock/1", 60_000, None)).collect();
     rig.change(vec![], &["a"]);
-    rig.feed(Event::StoreLost);
+    rig.feed(Event::EndpointsReadFailed);
     rig.pass_ms(5000);
     rig.change(vec![], &["a"]);
     assert!(rig.state.directory.next_expiry().is_none());
--- a/crates/basilbank_forward/tests/forward/endpoints.rs
+++ b/crates/basilbank_forward/tests/forward/endpoints.rs
@@ -49,7 +49,7 @@
 fn entries_that_lapsed_during_an_outage_get_time_to_come_back() {
     let mut rig = Rig::new();
     rig.list(vec![plain("a", 1), plain("b", 2)]);
-    rig.feed(Event::StoreLost);
+    rig.feed(Event::EndpointsReadFailed);
     rig.pass_ms(5000);
     rig.change(vec![], &["a", "b"]);
     assert_eq!(targets(&mut rig), ["a", "b"]);
@@ -66,7 +66,7 @@
 fn a_new_instance_at_an_address_ends_the_old_one() {
     let mut rig = Rig::new();
     rig.list(vec![plain("a", 1), plain("b", 2)]);
-    rig.feed(Event::StoreLost);
+    rig.feed(Event::EndpointsReadFailed);
     rig.pass_ms(5000);
     rig.change(vec![plain("a2", 1)], &["a"]);
     assert_eq!(targets(&mut rig), ["a2", "b"]);
--- a/crates/basilbank_forward/tests/forward/order_schedules.rs
+++ b/crates/basilbank_forward/tests/forward/order_schedules.rs
@@ -149,7 +149,7 @@
         }
         if 0 < vm.cut {
             vm.cut -= 1;
-            vm.rig.feed(Event::StoreLost);
+            vm.rig.feed(Event::EndpointsReadFailed);
             return;
         }
         vm.rig.set_revision(self.revision);
--- a/crates/basilbank_forward/tests/forward/plain.rs
+++ b/crates/basilbank_forward/tests/forward/plain.rs
@@ -32,7 +32,7 @@
 }
 
 #[test_case(Outcome::Broken(Damage::Closed), &[Refusal::Broken]; "broken")]
-#[test_case(Outcome::Silent, &[Refusal::TimedOut]; "silent")]
+#[test_case(Outcome::TimedOut, &[Refusal::TimedOut]; "silent")]
 fn a_call_that_may_have_run_is_not_sent_again(outcome: Outcome, refusals: &[Refusal]) {
     let mut rig = rig();
     let id = rig.call("/stock/1", 2500, None);
--- a/crates/basilbank_forward/tests/forward/restarts.rs
+++ b/crates/basilbank_forward/tests/forward/restarts.rs
@@ -291,7 +291,7 @@
 /// Sequence: a call at the former start comes to nothing after the new start is known.
 /// Cause: as above.
 #[test_case(Outcome::Unreachable)]
-#[test_case(Outcome::Silent)]
+#[test_case(Outcome::TimedOut)]
 #[test_case(Outcome::Broken(Damage::Closed))]
 #[test_case(Outcome::NotRun(NotRun::WrongInstance))]
 fn a_late_failure_at_the_former_start_says_nothing_of_the_new_one(outcome: Outcome) {
--- a/crates/basilbank_forward/tests/forward/watchers.rs
+++ b/crates/basilbank_forward/tests/forward/watchers.rs
@@ -105,7 +105,7 @@
     rig.pass_ms(600);
     let said = rig.beats().pop().expect("a datagram").1;
     assert!(said.watching);
-    rig.feed(Event::StoreLost);
+    rig.feed(Event::EndpointsReadFailed);
     rig.pass_ms(20);
     let (_, beat) = rig.beats().pop().expect("a datagram");
     assert!(!beat.watching);
--- a/crates/basilbank_gateway/src/calls.rs
+++ b/crates/basilbank_gateway/src/calls.rs
@@ -96,7 +96,7 @@
         match error {
             CallError::Unreachable => Outcome::Unreachable,
             CallError::Broken(damage) => Outcome::Broken(damage),
-            CallError::Silent => Outcome::Silent,
+            CallError::Silent => Outcome::TimedOut,
         }
     }
 }
@@ -127,7 +127,7 @@
     let (head, body) = split(response);
     learn_limit(&router, &attempt, &head);
     match (dialect.head)(&original.call, &attempt.op, &head) {
-        Head::Unclear => Came::bare(Outcome::Broken(Damage::Foreign)),
+        Head::Unclear => Came::bare(Outcome::Broken(Damage::Mismatched)),
         Head::NotRun(why) => {
             keep_after(&router, &attempt, &head, body, link).await;
             Came::bare(Outcome::NotRun(why))
@@ -194,7 +194,7 @@
         router.links.keep(attempt.target.endpoint, link, kept);
     }
     let outcome = (router.dialect.own_body)(&attempt.op, &bytes);
-    Came::bare(outcome.unwrap_or(Outcome::Broken(Damage::Garbled)))
+    Came::bare(outcome.unwrap_or(Outcome::Broken(Damage::InvalidHttp)))
 }
 
 async fn whole(
--- a/crates/basilbank_gateway/src/reader.rs
+++ b/crates/basilbank_gateway/src/reader.rs
@@ -139,7 +139,7 @@
                 self.open.retain(|open| open.id != read);
             }
             ReadEffect::Lost if self.topic == Topic::Endpoints => {
-                self.router.dispatch(Event::StoreLost);
+                self.router.dispatch(Event::EndpointsReadFailed);
             }
             ReadEffect::Lost => {}
             ReadEffect::Disproved(revision) => {
