--- a/crates/basilbank_forward/benches/load/main.rs
+++ b/crates/basilbank_forward/benches/load/main.rs
@@ -58,9 +58,9 @@
 
 fn show(case: &str, engines: Engines, phases: &[Phase]) {
     let all_alike = Tuning {
-        memory_late: 1.0,
-        lead: Duration::ZERO,
-        blind: Duration::ZERO,
+        late_memory_fraction: 1.0,
+        first_token_delay: Duration::ZERO,
+        cold_start: Duration::ZERO,
         ..Tuning::default()
     };
     let placings = [
--- a/crates/basilbank_forward/src/effect.rs
+++ b/crates/basilbank_forward/src/effect.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 use crate::{
     call::RequestId,
@@ -82,7 +82,7 @@
         /// The peers' addresses.
         to: Vec<SocketAddr>,
         /// The datagram's content.
-        gossip: Box<LoadBeat>,
+        gossip: Box<LoadGossip>,
     },
     /// An endpoint was removed: close its connections once they are idle.
     CloseConnections(EndpointKey),
--- a/crates/basilbank_forward/src/endpoint.rs
+++ b/crates/basilbank_forward/src/endpoint.rs
@@ -33,7 +33,7 @@
     /// The instance's id. It may start again under it.
     pub instance: String,
     /// Its start, milliseconds since the Unix epoch, if it says so.
-    pub born: Option<u64>,
+    pub start_time: Option<u64>,
     /// The service that it serves.
     pub service: String,
     /// Where it listens.
@@ -50,15 +50,15 @@
 
 /// What an entry says of a known start of its instance.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Says {
+pub enum StartOrder {
     /// It is of this start.
     Same,
     /// It is of a start before it.
-    Former,
+    Earlier,
     /// It is of a later start.
     Later,
     /// It is of another start, and does not show which came first.
-    Other,
+    Different,
 }
 
 impl EndpointInfo {
@@ -69,14 +69,14 @@
     /// that may be another's by now, while the reverse mistake costs some prompts, once. An entry that
     /// leaves it out says nothing about the start: it is the known one, unless the address differs.
     #[must_use]
-    pub fn compare(&self, told: &EndpointInfo) -> Says {
-        match (self.born, told.born) {
-            (Some(known), Some(told)) if told < known => Says::Former,
-            (Some(known), Some(told)) if known < told => Says::Later,
-            (None, Some(_)) => Says::Other,
-            (Some(_), None) if self.addr != told.addr => Says::Other,
-            _ if self.service != told.service => Says::Other,
-            _ => Says::Same,
+    pub fn compare_start(&self, record: &EndpointInfo) -> StartOrder {
+        match (self.start_time, record.start_time) {
+            (Some(known), Some(stated)) if stated < known => StartOrder::Earlier,
+            (Some(known), Some(stated)) if known < stated => StartOrder::Later,
+            (None, Some(_)) => StartOrder::Different,
+            (Some(_), None) if self.addr != record.addr => StartOrder::Different,
+            _ if self.service != record.service => StartOrder::Different,
+            _ => StartOrder::Same,
         }
     }
 }
--- a/crates/basilbank_forward/src/event.rs
+++ b/crates/basilbank_forward/src/event.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 use crate::{
     call::{Call, RequestId},
@@ -95,7 +95,7 @@
         /// The peer's address.
         from: SocketAddr,
         /// The datagram's content.
-        gossip: Box<LoadBeat>,
+        gossip: Box<LoadGossip>,
     },
     /// The settings determine whether this daemon orders endpoints to change their stage.
     OrderRight(OrderRight),
@@ -109,7 +109,7 @@
 impl Event {
     /// Creates an event for a datagram of a peer.
     #[must_use]
-    pub fn gossip(from: SocketAddr, gossip: LoadBeat) -> Event {
+    pub fn gossip(from: SocketAddr, gossip: LoadGossip) -> Event {
         Event::Gossip { from, gossip: Box::new(gossip) }
     }
 }
--- a/crates/basilbank_forward/src/reduce.rs
+++ b/crates/basilbank_forward/src/reduce.rs
@@ -29,7 +29,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use basilbank_core::time::Now;
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 use crate::{
     call::RequestId,
@@ -37,7 +37,7 @@
     endpoint::EndpointKey,
     event::Event,
     log_line::LogLine,
-    state::{Leaving, Share, State, requests::Hold},
+    state::{Leaving, State, Usage, requests::Hold},
 };
 
 /// Applies one event to the state and appends the resulting effects to `effects`.
@@ -46,7 +46,7 @@
     ctx.state.started.get_or_insert(now.mono);
     roles::detect_suspension(&mut ctx, now);
     match event {
-        Event::Tick => ctx.state.room = true,
+        Event::Tick => ctx.state.capacity_changed = true,
         Event::Arrived(call) => admission::handle_call(&mut ctx, *call),
         Event::CallerLeft(id) => finish::handle_caller_left(&mut ctx, id),
         Event::AttemptOutcome { request, attempt, outcome } => {
@@ -82,7 +82,7 @@
     }
     queue::resume_waiting(&mut ctx);
     endpoints::remove_expired(&mut ctx);
-    while let Some(id) = ctx.state.due_timer(ctx.now) {
+    while let Some(id) = ctx.state.pop_due_timer(ctx.now) {
         step::handle_timer(&mut ctx, id);
         queue::resume_waiting(&mut ctx);
     }
@@ -98,21 +98,21 @@
 /// Adds a call's usage to an endpoint, and schedules a gossip datagram if the call takes memory
 /// there. Plain calls don't trigger a datagram: they end before a peer could react, and heartbeats
 /// report them.
-fn add_usage(state: &mut State, endpoint: EndpointKey, share: Share) {
-    state.directory.begin(endpoint, share);
+fn add_usage(state: &mut State, endpoint: EndpointKey, share: Usage) {
+    state.directory.add_usage(endpoint, share);
     state.peers.changed |= share.tokens != 0;
 }
 
 /// Reverts [`add_usage`].
-fn remove_usage(state: &mut State, endpoint: EndpointKey, share: Share) {
-    state.directory.end(endpoint, share);
+fn remove_usage(state: &mut State, endpoint: EndpointKey, share: Usage) {
+    state.directory.remove_usage(endpoint, share);
     state.peers.changed |= share.tokens != 0;
 }
 
 /// Removes the usage of a hold that has ended, unless the call that took the hold is counted
 /// instead.
 fn remove_hold_usage(state: &mut State, hold: &Hold) {
-    if let Some(share) = hold.share {
+    if let Some(share) = hold.usage {
         remove_usage(state, hold.endpoint, share);
     }
 }
@@ -130,9 +130,9 @@
     }
 
     /// Sends a message to some peers, apart from the regular gossip about this daemon's load.
-    fn send(&mut self, to: Vec<SocketAddr>, message: LoadBeat) {
+    fn send(&mut self, to: Vec<SocketAddr>, message: LoadGossip) {
         let incarnation = self.state.peers.incarnation;
-        let gossip = Box::new(LoadBeat { incarnation, ..message });
+        let gossip = Box::new(LoadGossip { incarnation, ..message });
         self.push(Effect::SendGossip { to, gossip });
     }
 
--- a/crates/basilbank_forward/src/reduce/admission.rs
+++ b/crates/basilbank_forward/src/reduce/admission.rs
@@ -9,7 +9,7 @@
     log_line::LogLine,
     reason::Refusal,
     route::Route,
-    state::{Draft, Request, State, requests::QuotaStage},
+    state::{Completion, Request, State, requests::QuotaStage},
     team::{Credential, Team},
 };
 
@@ -20,7 +20,7 @@
         .with("request", &call.trace_id)
         .with("version", ctx.state.routes.version)
         .with("wait_ms", call.caller_timeout.map_or(0, |p| p.as_millis()));
-    let line = match ctx.state.needs_proof() {
+    let line = match ctx.state.needs_confirmation() {
         false => line,
         true => {
             let age = ctx.state.freshness.age(ctx.now);
@@ -52,7 +52,7 @@
         Err(refusal) => {
             ctx.log(line.with("digest", digest).with("refusal", refusal.as_str()));
             let can_retry = refusal.is_not_run() && !refusal.is_final();
-            let retry_after = can_retry.then_some(ctx.state.tuning.come_back);
+            let retry_after = can_retry.then_some(ctx.state.tuning.retry_after);
             ctx.push(Effect::Refuse { request: id, refusal, retry_after });
         }
     }
@@ -61,11 +61,12 @@
 fn admit(ctx: &mut Context<'_>, mut call: Call) -> Result<Request, Refusal> {
     let state = &mut *ctx.state;
     // Without a configuration it is unknown whether the route exists, so 404 could be wrong.
-    if !state.knows() {
+    if !state.is_initialized() {
         return Err(Refusal::NotReady);
     }
     // A 404 is final: callers don't try again, neither elsewhere nor later.
-    let no_route = if state.outdated() { Refusal::Outdated } else { Refusal::UnknownRoute };
+    let no_route =
+        if state.is_configuration_outdated() { Refusal::Outdated } else { Refusal::UnknownRoute };
     let route = state.routes.find(&call.host, &call.path).ok_or(no_route)?.clone();
     let team = authenticate(state, &route, call.credential, ctx.now)?;
     if let Some(team) = &team {
@@ -78,27 +79,27 @@
         return Err(Refusal::Leaving);
     }
     let unit = state.rng.unit();
-    let service = route.service(unit).ok_or(Refusal::NoEndpoint)?.to_owned();
-    let budget = state.budgets.entry(service.clone()).or_default();
-    budget.called(ctx.now, &state.tuning);
+    let service = route.pick_service(unit).ok_or(Refusal::NoEndpoint)?.to_owned();
+    let budget = state.retry_budgets.entry(service.clone()).or_default();
+    budget.record_call(ctx.now, &state.tuning);
     Ok(Request {
         version: state.routes.version,
         team,
         quota: QuotaStage::New,
         arrived: ctx.now,
         deadline,
-        live: Vec::new(),
-        attempts: 0,
-        counted: 0,
-        unpaid: 0,
+        active_attempts: Vec::new(),
+        attempt_count: 0,
+        counted_attempts: 0,
+        uncharged_refusals: 0,
         tried: Vec::new(),
         maybe_run: false,
         answering: false,
-        failure: None,
-        draft: Draft::default(),
+        last_failure: None,
+        completion: Completion::default(),
         resume_at: None,
-        permit_by: None,
-        come_back: None,
+        permit_deadline: None,
+        retry_after: None,
         timers: Vec::new(),
         call,
         route,
@@ -120,7 +121,7 @@
     let Some(teams) = state.routes.teams.as_ref().filter(|_| !route.public) else {
         return Ok(None);
     };
-    if !state.trusts_keys(now) {
+    if !state.can_trust_keys(now) {
         return Err(Refusal::KeysUnconfirmed);
     }
     let team = match credential {
@@ -129,7 +130,7 @@
     };
     match team {
         Ok(team) => Ok(Some(Arc::clone(team))),
-        Err(_) if state.outdated() => Err(Refusal::Outdated),
+        Err(_) if state.is_configuration_outdated() => Err(Refusal::Outdated),
         Err(refusal) => Err(refusal),
     }
 }
--- a/crates/basilbank_forward/src/reduce/call_limit.rs
+++ b/crates/basilbank_forward/src/reduce/call_limit.rs
@@ -7,14 +7,14 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use basilbank_wire::{CallLimitSeen, LoadBeat, Permit, PermitWord};
+use basilbank_wire::{CallLimitReport, LoadGossip, Permit, PermitKind};
 
 use super::{Context, step};
 use crate::{
     call::RequestId,
     endpoint::{EndpointKey, Stage},
     log_line::{LogLine, Measurement},
-    state::{State, grants::Asker},
+    state::{State, permit_issuer::Requester},
 };
 
 /// Maximum wait for a permit that is requested before any call needs it.
@@ -30,31 +30,31 @@
 
 /// Records the call limit that an endpoint's answer states.
 pub fn record_limit(ctx: &mut Context<'_>, key: EndpointKey, rate: Option<f64>) {
-    let is_listed = ctx.state.directory.get(key).is_some_and(|endpoint| !endpoint.gone);
-    if is_listed && ctx.state.call_limits.see(key, rate, ctx.now) {
+    let is_listed = ctx.state.directory.get(key).is_some_and(|endpoint| !endpoint.unlisted);
+    if is_listed && ctx.state.call_limits.record_answer(key, rate, ctx.now) {
         handle_change(ctx, key, rate, "answer");
-        ctx.state.peers.tell_soon();
+        ctx.state.peers.report_soon();
     }
 }
 
 /// Applies the call limits that a peer has seen.
-pub fn handle_reported_limits(ctx: &mut Context<'_>, gossip: &LoadBeat) {
+pub fn handle_reported_limits(ctx: &mut Context<'_>, gossip: &LoadGossip) {
     for reported in &gossip.limits {
-        let Some(key) = ctx.state.directory.by_hash(reported.endpoint) else { continue };
+        let Some(key) = ctx.state.directory.find_by_hash(reported.endpoint) else { continue };
         let seen = ctx.now.saturating_sub(Duration::from_millis(u64::from(reported.ago)));
         let rate = reported.rate.filter(|rate| rate.is_finite() && 0.0 <= *rate);
-        if ctx.state.call_limits.hear(key, rate, seen) {
+        if ctx.state.call_limits.apply_report(key, rate, seen) {
             handle_change(ctx, key, rate, "peer");
         }
     }
 }
 
 /// Returns the call limits that this daemon has seen, to report them to peers.
-pub fn observed_limits(state: &State, now: Duration) -> Vec<CallLimitSeen> {
-    let reported = state.call_limits.told(now).filter_map(|(key, limit)| {
+pub fn observed_limits(state: &State, now: Duration) -> Vec<CallLimitReport> {
+    let reported = state.call_limits.to_report(now).filter_map(|(key, limit)| {
         let ago = now.saturating_sub(limit.seen).as_millis();
         let ago = u32::try_from(ago).unwrap_or(u32::MAX);
-        Some(CallLimitSeen { endpoint: state.directory.hash(key)?, rate: limit.rate, ago })
+        Some(CallLimitReport { endpoint: state.directory.hash(key)?, rate: limit.rate, ago })
     });
     reported.collect()
 }
@@ -63,15 +63,15 @@
 /// an issuer's queue is never longer than the number of peers.
 pub fn handle_permits(ctx: &mut Context<'_>, from: SocketAddr, permits: &[Permit]) {
     for permit in permits {
-        let Some(key) = ctx.state.directory.by_hash(permit.endpoint) else { continue };
+        let Some(key) = ctx.state.directory.find_by_hash(permit.endpoint) else { continue };
         let wait = Duration::from_millis(u64::from(permit.wait));
         match permit.word() {
-            PermitWord::Ask => {
-                handle_request(ctx, key, Asker::Peer(from), wait.min(MAX_PERMIT_WAIT));
+            PermitKind::Ask => {
+                handle_request(ctx, key, Requester::Peer(from), wait.min(MAX_PERMIT_WAIT));
             }
-            PermitWord::Wait => handle_wait(ctx, key, wait),
-            PermitWord::Grant => handle_grant(ctx, key),
-            PermitWord::Unspecified => {}
+            PermitKind::Wait => handle_wait(ctx, key, wait),
+            PermitKind::Grant => handle_grant(ctx, key),
+            PermitKind::Unspecified => {}
         }
     }
 }
@@ -81,10 +81,10 @@
 pub fn request_permit(ctx: &mut Context<'_>, id: RequestId, max_wait: Duration) -> bool {
     let Some(request) = ctx.state.requests.get(&id) else { return false };
     let candidates = ctx.state.endpoints_without_permit(&request.service, ctx.now);
-    let waiting = &ctx.state.permits.waiting;
+    let waiting = &ctx.state.permit_holder.waiting;
     let position = waiting.iter().position(|other| *other == id).unwrap_or(waiting.len());
     loop {
-        let pending = ctx.state.permits.coming(&candidates, ctx.now);
+        let pending = ctx.state.permit_holder.requested(&candidates, ctx.now);
         if position < pending {
             return true;
         }
@@ -104,7 +104,7 @@
 pub fn prefetch_permit(ctx: &mut Context<'_>, id: RequestId) {
     let Some(request) = ctx.state.requests.get(&id) else { return };
     let limits = &ctx.state.call_limits;
-    let mut endpoints = ctx.state.directory.service(&request.service);
+    let mut endpoints = ctx.state.directory.available(&request.service);
     let has_unlimited = endpoints.any(|(key, _)| limits.get(key).is_none());
     drop(endpoints);
     if !has_unlimited && !request.is_completion(ctx.state) {
@@ -117,51 +117,53 @@
 }
 
 fn ask_issuer(ctx: &mut Context<'_>, key: EndpointKey, max_wait: Duration) {
-    ctx.state.permits.ask(key, max_wait, ctx.now);
+    ctx.state.permit_holder.record_request(key, max_wait, ctx.now);
     match ctx.state.permit_issuer(key) {
-        None => handle_request(ctx, key, Asker::Own, max_wait),
-        Some(issuer) => send(ctx, issuer, key, PermitWord::Ask, max_wait),
+        None => handle_request(ctx, key, Requester::Own, max_wait),
+        Some(issuer) => send(ctx, issuer, key, PermitKind::Ask, max_wait),
     }
 }
 
 /// Issues the permits that are available, which resumes the calls that waited for them. Stops
 /// issuing for endpoints that have no limit any more or have another issuer.
 pub fn tick(ctx: &mut Context<'_>) {
-    let issued_here: Vec<_> = ctx.state.grants.open().collect();
+    let issued_here: Vec<_> = ctx.state.permit_issuer.endpoints().collect();
     for key in issued_here {
         let has_limit = ctx.state.call_limits.get(key).is_some();
         if !has_limit || ctx.state.permit_issuer(key).is_some() {
-            ctx.state.grants.close(key);
+            ctx.state.permit_issuer.stop(key);
         }
     }
-    while let Some((key, asker)) = ctx.state.grants.give(ctx.now) {
+    while let Some((key, asker)) = ctx.state.permit_issuer.issue(ctx.now) {
         match asker {
-            Asker::Own => handle_grant(ctx, key),
-            Asker::Peer(peer) => send(ctx, peer, key, PermitWord::Grant, Duration::ZERO),
+            Requester::Own => handle_grant(ctx, key),
+            Requester::Peer(peer) => send(ctx, peer, key, PermitKind::Grant, Duration::ZERO),
         }
     }
 }
 
 /// Handles a request for a permit. If this daemon considers another one the issuer, it doesn't
 /// reply, since otherwise both would issue permits.
-fn handle_request(ctx: &mut Context<'_>, key: EndpointKey, asker: Asker, max_wait: Duration) {
+fn handle_request(ctx: &mut Context<'_>, key: EndpointKey, asker: Requester, max_wait: Duration) {
     let Some(limit) = ctx.state.call_limits.get(key) else { return };
     if ctx.state.permit_issuer(key).is_some() {
         return;
     }
     let stage = ctx.state.directory.get(key).and_then(|endpoint| endpoint.info.stage);
     let limit = if stage == Some(Stage::Decode) { limit / CALLS_PER_DECODE_PERMIT } else { limit };
-    let wait = ctx.state.grants.ask(key, limit, (asker, max_wait), ctx.now);
+    let wait = ctx.state.permit_issuer.request(key, limit, (asker, max_wait), ctx.now);
     match asker {
         // The callers of `ask_issuer` check the result themselves, so no call has to be resumed.
-        Asker::Own => ctx.state.permits.takes(key, wait, ctx.state.peers.known.len(), ctx.now),
-        Asker::Peer(peer) => send(ctx, peer, key, PermitWord::Wait, wait),
+        Requester::Own => {
+            ctx.state.permit_holder.apply_wait(key, wait, ctx.state.peers.known.len(), ctx.now);
+        }
+        Requester::Peer(peer) => send(ctx, peer, key, PermitKind::Wait, wait),
     }
 }
 
 /// Records how long a permit will take. Calls that can't wait for it look for another one.
 fn handle_wait(ctx: &mut Context<'_>, key: EndpointKey, wait: Duration) {
-    ctx.state.permits.takes(key, wait, ctx.state.peers.known.len(), ctx.now);
+    ctx.state.permit_holder.apply_wait(key, wait, ctx.state.peers.known.len(), ctx.now);
     resume_waiting(ctx);
 }
 
@@ -169,12 +171,12 @@
     if ctx.state.call_limits.get(key).is_none() {
         return;
     }
-    ctx.state.permits.granted(key, ctx.now);
+    ctx.state.permit_holder.record_grant(key, ctx.now);
     if let Some(endpoint) = ctx.state.directory.get(key) {
         let line = LogLine::new("permit").with("instance", &endpoint.info.instance);
         ctx.log(line.with_measurement(Measurement::Permit));
     }
-    ctx.state.room = true;
+    ctx.state.capacity_changed = true;
     resume_waiting(ctx);
 }
 
@@ -185,30 +187,30 @@
         ctx.log(line.with("rate", rate).with("by", by));
     }
     if rate.is_none() {
-        ctx.state.permits.forget(key);
-        ctx.state.room = true;
+        ctx.state.permit_holder.remove(key);
+        ctx.state.capacity_changed = true;
         resume_waiting(ctx);
     }
 }
 
 /// Resumes the calls that wait for a permit. Those that get none wait again, in the same order.
 fn resume_waiting(ctx: &mut Context<'_>) {
-    for id in std::mem::take(&mut ctx.state.permits.waiting) {
+    for id in std::mem::take(&mut ctx.state.permit_holder.waiting) {
         step::proceed(ctx, id);
     }
 }
 
-fn send(ctx: &mut Context<'_>, to: SocketAddr, key: EndpointKey, kind: PermitWord, wait: Duration) {
+fn send(ctx: &mut Context<'_>, to: SocketAddr, key: EndpointKey, kind: PermitKind, wait: Duration) {
     let Some(endpoint) = ctx.state.directory.hash(key) else { return };
     let wait = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     let permit = Permit { endpoint, word: kind.into(), wait };
-    ctx.send(vec![to], LoadBeat { permits: vec![permit], ..LoadBeat::default() });
+    ctx.send(vec![to], LoadGossip { permits: vec![permit], ..LoadGossip::default() });
 }
 
 impl State {
     /// Returns the peer that issues permits for an endpoint, or `None` if this daemon does.
     fn permit_issuer(&self, key: EndpointKey) -> Option<SocketAddr> {
-        self.elected(u64::from(self.directory.hash(key)?), |_| true)
+        self.remote_owner(u64::from(self.directory.hash(key)?), |_| true)
     }
 
     /// Returns the endpoints of a service that need a permit which this daemon doesn't have.
@@ -217,7 +219,7 @@
         service: &str,
         now: Duration,
     ) -> Vec<EndpointKey> {
-        let keys = self.directory.service(service).map(|(key, _)| key);
+        let keys = self.directory.available(service).map(|(key, _)| key);
         keys.filter(|key| !self.has_permit(*key, now)).collect()
     }
 
@@ -228,7 +230,7 @@
         candidates: &[EndpointKey],
         now: Duration,
     ) -> Option<EndpointKey> {
-        let eligible = candidates.iter().filter(|key| self.permits.is_open(**key, now));
+        let eligible = candidates.iter().filter(|key| self.permit_holder.can_request(**key, now));
         let rate = |key: &EndpointKey| self.call_limits.get(*key).unwrap_or_default();
         let eligible: Vec<_> = eligible.map(|key| (*key, rate(key))).collect();
         let mut drawn = self.rng.unit() * eligible.iter().map(|(_, rate)| rate).sum::<f64>();
@@ -241,6 +243,6 @@
 
     /// Returns whether the call limit of the endpoint allows to send it a call now.
     pub(super) fn has_permit(&self, key: EndpointKey, now: Duration) -> bool {
-        self.call_limits.get(key).is_none() || self.permits.has(key, now)
+        self.call_limits.get(key).is_none() || self.permit_holder.has_permit(key, now)
     }
 }
--- a/crates/basilbank_forward/src/reduce/completion.rs
+++ b/crates/basilbank_forward/src/reduce/completion.rs
@@ -17,21 +17,21 @@
     endpoint::EndpointKey,
     reason::{Refusal, Retry},
     state::{
-        Request, Share, State,
-        requests::{Hold, Kv, Step},
+        Request, State, Usage,
+        requests::{Hold, KvCache, Step},
     },
 };
 
 /// Returns the next step of a completion.
 pub fn next_step(state: &mut State, id: RequestId, now: Duration) -> NextStep {
     let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
-    if !request.live.is_empty() || request.resume_at.is_some() {
+    if !request.active_attempts.is_empty() || request.resume_at.is_some() {
         return NextStep::Wait;
     }
-    if request.route.attempts <= request.counted {
-        return NextStep::GiveUp(request.failure.unwrap_or(Refusal::RetriesExhausted));
+    if request.route.max_attempts <= request.counted_attempts {
+        return NextStep::GiveUp(request.last_failure.unwrap_or(Refusal::RetriesExhausted));
     }
-    match (usable_kv(state, request, now), request.draft.hold.clone()) {
+    match (usable_kv(state, request, now), request.completion.hold.clone()) {
         (Some(kv), Some(hold)) => request_decode(state, id, kv, hold, now),
         (None, Some(hold)) => request_prefill(state, id, &hold, now),
         (_, None) => request_hold(state, id, now),
@@ -39,53 +39,53 @@
 }
 
 /// Returns the KV cache of the completion if there is still time to transfer it.
-fn usable_kv(state: &State, request: &Request, now: Duration) -> Option<Kv> {
-    let kv = request.draft.kv.clone()?;
+fn usable_kv(state: &State, request: &Request, now: Duration) -> Option<KvCache> {
+    let kv = request.completion.kv.clone()?;
     let engine = state.routes.engine(&request.service)?;
-    let until = kv.made + engine.kept.saturating_sub(state.tuning.kv_margin);
+    let until = kv.made + engine.kv_ttl.saturating_sub(state.tuning.kv_margin);
     (now < until).then_some(kv)
 }
 
 fn request_hold(state: &mut State, id: RequestId, now: Duration) -> NextStep {
     let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
-    let timeout = state.tuning.hold_limit;
-    if request.patience() < now + state.tuning.lead {
+    let timeout = state.tuning.hold_timeout;
+    if request.caller_deadline() < now + state.tuning.first_token_delay {
         return NextStep::GiveUp(Refusal::WaitTimedOut);
     }
-    if state.tuning.hold_tries <= request.draft.asked {
+    if state.tuning.hold_tries <= request.completion.hold_attempts {
         return NextStep::WaitUntil(now + state.tuning.hold_pause);
     }
     let (service, tried, due) = (request.service.clone(), recently_asked(request), request.due());
     let prompt = request.call.prompt.clone().unwrap_or_default();
-    let share = Share::draft(prompt.tokens, prompt.expected_output());
-    let memory_fraction = match request.is_timely(now + state.tuning.lead) {
-        true => state.tuning.memory_used,
-        false => state.tuning.memory_late,
+    let share = Usage::completion(prompt.tokens, prompt.expected_output());
+    let memory_fraction = match request.is_on_time(now + state.tuning.first_token_delay) {
+        true => state.tuning.memory_fraction,
+        false => state.tuning.late_memory_fraction,
     };
     // Transferring a KV cache between data centres takes twice as long, so the decode endpoint is
     // picked near the endpoint that will read the prompt or has read it.
-    let near = match &request.draft.kv {
+    let near = match &request.completion.kv {
         Some(kv) => Some(kv.endpoint),
         None => placement::pick_prefill(state, &service, &[], None, prompt.tokens, now),
     };
-    let hold_ttl = state.routes.engine(&service).map_or(Duration::ZERO, |e| e.hold);
-    let peers_ahead = state.before(&service, due, now);
+    let hold_ttl = state.routes.engine(&service).map_or(Duration::ZERO, |e| e.max_hold);
+    let peers_ahead = state.peers_ahead(&service, due, now);
     let criteria = Criteria { near, share, memory_fraction, session: prompt.session };
     let endpoint = match placement::pick_decode(state, &service, &tried, &criteria, now) {
         DecodeChoice::At(endpoint) => endpoint,
         DecodeChoice::Full => {
-            state.line.taken(&service);
+            state.queue.clear_capacity(&service);
             return NextStep::WaitForCapacity;
         }
         DecodeChoice::None => return NextStep::GiveUp(Refusal::NoEndpoint),
     };
     let wait =
-        state.tuning.line_step.saturating_mul(u32::try_from(peers_ahead).unwrap_or(u32::MAX));
-    let turn_at = state.line.turn_at(&service, wait, now);
+        state.tuning.queue_step.saturating_mul(u32::try_from(peers_ahead).unwrap_or(u32::MAX));
+    let turn_at = state.queue.turn_at(&service, wait, now);
     if now < turn_at {
         return NextStep::WaitForTurn(turn_at);
     }
-    state.line.taken(&service);
+    state.queue.clear_capacity(&service);
     let op = Op::Hold { tokens: hold_tokens(state, &prompt), ttl: hold_ttl };
     NextStep::Dispatch(Dispatch {
         endpoint,
@@ -108,30 +108,30 @@
 /// completion is output, the endpoint knows only the smaller part of what it needs.
 fn hold_tokens(state: &State, prompt: &Prompt) -> u32 {
     let min_tokens = state.tuning.hold_tokens;
-    let has_late_views = state.tuning.true_views < state.peers.known.len();
+    let has_late_views = state.tuning.max_accurate_view_peers < state.peers.known.len();
     let knows_most = prompt.expected_output() < prompt.tokens;
     if has_late_views && knows_most { min_tokens.max(prompt.tokens) } else { min_tokens }
 }
 
 /// Returns the decode endpoints that were asked for a slot since the last pause.
 fn recently_asked(request: &Request) -> Vec<EndpointKey> {
-    request.tried.iter().rev().take(request.draft.asked as usize).copied().collect()
+    request.tried.iter().rev().take(request.completion.hold_attempts as usize).copied().collect()
 }
 
 fn request_prefill(state: &mut State, id: RequestId, hold: &Hold, now: Duration) -> NextStep {
     let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
     // Once a prefill endpoint may have read the prompt, another prefill counts as an extra attempt,
     // and the decode after it as one more. The decode endpoint does both in one attempt.
-    if request.draft.prefills != 0 || request.counted != 0 {
+    if request.completion.prefills != 0 || request.counted_attempts != 0 {
         return request_stream(state, id, hold, now);
     }
     let tokens = request.call.prompt.as_ref().map_or(0, |p| p.tokens);
-    let retry = (request.unpaid != 0).then_some(Retry::NotRun);
+    let retry = (request.uncharged_refusals != 0).then_some(Retry::NotRun);
     let (service, tried) = (request.service.clone(), request.tried.clone());
     // After a restart of all daemons each of them takes the prefill endpoints for idle, and the
     // prompts of all returning callers would queue there for seconds. The decode endpoints have
     // nothing to do, since all their streams were cut, and have kept many of these prompts.
-    if state.is_blind(now) {
+    if state.is_cold_start(now) {
         return request_stream(state, id, hold, now);
     }
     let picked = placement::pick_prefill(state, &service, &tried, Some(hold.endpoint), tokens, now);
@@ -140,8 +140,8 @@
     let Some(endpoint) = picked.filter(is_worthwhile) else {
         return request_stream(state, id, hold, now);
     };
-    let timeout = state.tuning.prefill_limit + prefill_time(state, endpoint, tokens) * 2;
-    let (step, share) = (Step::Prefill, Share::reading(tokens));
+    let timeout = state.tuning.prefill_timeout + prefill_time(state, endpoint, tokens) * 2;
+    let (step, share) = (Step::Prefill, Usage::prefill(tokens));
     NextStep::Dispatch(Dispatch {
         endpoint,
         op: Op::Prefill,
@@ -157,8 +157,10 @@
 /// already has.
 fn prefill_time(state: &State, endpoint: EndpointKey, tokens: u32) -> Duration {
     let Some(at) = state.directory.get(endpoint) else { return Duration::ZERO };
-    let waiting = f64::from(at.all_tokens() + tokens);
-    Duration::from_secs_f64(at.base + waiting / state.tuning.prefill_rate * at.slowness)
+    let waiting = f64::from(at.total_tokens() + tokens);
+    Duration::from_secs_f64(
+        at.base_seconds + waiting / state.tuning.prefill_tokens_per_second * at.slowness,
+    )
 }
 
 /// Returns whether the decode endpoint should read the prompt itself.
@@ -175,14 +177,14 @@
     now: Duration,
 ) -> bool {
     let Some(at) = state.directory.get(endpoint) else { return true };
-    if now < at.avoided {
+    if now < at.avoided_until {
         return true;
     }
     let tuning = &state.tuning;
     let read_time = prefill_time(state, endpoint, tokens);
-    let on_time = now + read_time + tuning.self_margin <= request.due();
-    let rate = tuning.prefill_rate * tuning.self_rate;
-    let own_time = Duration::from_secs_f64(f64::from(tokens) / rate) + tuning.self_margin;
+    let on_time = now + read_time + tuning.local_prefill_margin <= request.due();
+    let rate = tuning.prefill_tokens_per_second * tuning.local_prefill_fraction;
+    let own_time = Duration::from_secs_f64(f64::from(tokens) / rate) + tuning.local_prefill_margin;
     !on_time && own_time < read_time
 }
 
@@ -190,12 +192,12 @@
 fn request_stream(state: &State, id: RequestId, hold: &Hold, now: Duration) -> NextStep {
     let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
     let timeout = match request.route.resumable {
-        true => state.tuning.stream_limit,
+        true => state.tuning.stream_timeout,
         false => request.remaining(now),
     };
     let op = Op::Stream { hold: Some(hold.name.clone()) };
-    let retry = request.repeats().then_some(Retry::NotRun);
-    let (endpoint, share) = (hold.endpoint, hold.share.unwrap_or_default());
+    let retry = request.is_repeat().then_some(Retry::NotRun);
+    let (endpoint, share) = (hold.endpoint, hold.usage.unwrap_or_default());
     NextStep::Dispatch(Dispatch {
         endpoint,
         op,
@@ -207,18 +209,24 @@
     })
 }
 
-fn request_decode(state: &State, id: RequestId, kv: Kv, hold: Hold, now: Duration) -> NextStep {
+fn request_decode(
+    state: &State,
+    id: RequestId,
+    kv: KvCache,
+    hold: Hold,
+    now: Duration,
+) -> NextStep {
     let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
     let timeout = match request.route.resumable {
-        true => state.tuning.stream_limit,
+        true => state.tuning.stream_timeout,
         false => request.remaining(now),
     };
     let Some(source) = state.directory.get(kv.endpoint).map(|e| e.info.addr) else {
         return request_stream(state, id, &hold, now);
     };
-    let (endpoint, share) = (hold.endpoint, hold.share.unwrap_or_default());
+    let (endpoint, share) = (hold.endpoint, hold.usage.unwrap_or_default());
     let op = Op::Decode { source, handle: kv.handle, hold: Some(hold.name) };
-    let retry = request.repeats().then_some(Retry::Full);
+    let retry = request.is_repeat().then_some(Retry::Full);
     NextStep::Dispatch(Dispatch {
         endpoint,
         op,
--- a/crates/basilbank_forward/src/reduce/endpoints.rs
+++ b/crates/basilbank_forward/src/reduce/endpoints.rs
@@ -8,7 +8,7 @@
     endpoint::{EndpointInfo, EndpointKey},
     log_line::LogLine,
     route::RouteTable,
-    state::crashes::End,
+    state::crashes::CrashEvidence,
     topic::{Revision, Revisions, Topic},
 };
 
@@ -21,12 +21,12 @@
 pub fn apply_routes(ctx: &mut Context<'_>, revisions: Revisions, table: Option<Arc<RouteTable>>) {
     let previous = &mut ctx.state.routes_revision;
     let era_changed = has_era_changed(*previous, revisions);
-    previous.follow(revisions.store);
+    previous.advance(revisions.store);
     if let Some(table) = table {
         activate(ctx, revisions, table);
     }
     if era_changed {
-        announce_change(ctx, Topic::Routes, revisions.newest.with_era(revisions.store.era));
+        announce_change(ctx, Topic::Routes, revisions.latest_change.with_era(revisions.store.era));
     }
 }
 
@@ -51,9 +51,9 @@
         .with("before", ctx.state.routes.version)
         .with("routes", table.routes().len());
     ctx.log(line);
-    ctx.state.entries.learn(&table);
+    ctx.state.records.add_services(&table);
     ctx.state.routes = table;
-    announce_change(ctx, Topic::Routes, revisions.newest);
+    announce_change(ctx, Topic::Routes, revisions.latest_change);
     // Records were excluded if they were read before this version, or if it is the first to name
     // their service.
     records::reevaluate_excluded(ctx);
@@ -67,8 +67,12 @@
         return;
     }
     if era_changed {
-        ctx.state.directory.doubted = ctx.now + RESTORED_LIST_DOUBT;
-        announce_change(ctx, Topic::Endpoints, revisions.newest.with_era(revisions.store.era));
+        ctx.state.directory.restore_doubt_until = ctx.now + RESTORED_LIST_DOUBT;
+        announce_change(
+            ctx,
+            Topic::Endpoints,
+            revisions.latest_change.with_era(revisions.store.era),
+        );
     }
     let listed_now: HashSet<_> = list.iter().map(|info| info.instance.as_str()).collect();
     let missing: Vec<_> = ctx
@@ -78,9 +82,9 @@
         .filter(|(_, e)| !listed_now.contains(e.info.instance.as_str()))
         .map(|(key, _)| key)
         .collect();
-    ctx.state.entries.keep(&listed_now);
+    ctx.state.records.retain_listed(&listed_now);
     let was_unreachable = was_store_unreachable(ctx) || era_changed;
-    let source = match ctx.now < ctx.state.directory.doubted {
+    let source = match ctx.now < ctx.state.directory.restore_doubt_until {
         true => records::Source::Restored,
         false => records::Source::Store,
     };
@@ -105,9 +109,9 @@
         records::handle_record(ctx, info, records::Source::Store);
     }
     for instance in removed {
-        ctx.state.entries.forget(instance);
+        ctx.state.records.remove(instance);
         if let Some(key) = ctx.state.directory.find(instance) {
-            ctx.state.fresh = true;
+            ctx.state.records_changed = true;
             handle_missing(ctx, key, was_unreachable);
         }
     }
@@ -129,31 +133,31 @@
 fn complete_read(ctx: &mut Context<'_>, revisions: Revisions) {
     records::reevaluate_excluded(ctx);
     let directory = &mut ctx.state.directory;
-    directory.revision.follow(revisions.store);
+    directory.revision.advance(revisions.store);
     directory.read_at = ctx.now;
-    directory.lost = false;
-    if std::mem::take(&mut ctx.state.fresh) {
-        announce_change(ctx, Topic::Endpoints, revisions.newest);
+    directory.store_lost = false;
+    if std::mem::take(&mut ctx.state.records_changed) {
+        announce_change(ctx, Topic::Endpoints, revisions.latest_change);
     }
 }
 
 /// Announces a relevant change to peers with the next datagram.
 fn announce_change(ctx: &mut Context<'_>, topic: Topic, newest: Revision) {
-    let latest = ctx.state.news.get_mut(topic);
+    let latest = ctx.state.latest_changes.get_mut(topic);
     // A change that a peer reported is not announced at once: in a large fleet all daemons would
     // announce it to all.
     if newest <= *latest {
         return;
     }
     *latest = newest;
-    ctx.state.peers.tell_soon();
+    ctx.state.peers.report_soon();
 }
 
 /// Handles a failed read of the store. Followers that rely on this daemon are told at once.
 pub fn handle_read_failure(ctx: &mut Context<'_>) {
-    ctx.state.directory.lost = true;
+    ctx.state.directory.store_lost = true;
     if ctx.state.peers.watching {
-        ctx.state.peers.tell_soon();
+        ctx.state.peers.report_soon();
     }
 }
 
@@ -166,7 +170,9 @@
 fn was_store_unreachable(ctx: &Context<'_>) -> bool {
     let directory = &ctx.state.directory;
     let read_age = ctx.now.saturating_sub(directory.read_at);
-    directory.lost && !directory.revision.is_none() && ctx.state.tuning.store_silence < read_age
+    directory.store_lost
+        && !directory.revision.is_none()
+        && ctx.state.tuning.min_store_outage < read_age
 }
 
 /// Handles a missing endpoint record. If the store was unreachable, the endpoint gets time to
@@ -179,24 +185,24 @@
         if let Some(endpoint) = ctx.state.directory.get_mut(key) {
             endpoint.avoid(until);
         }
-        return ctx.state.directory.expire(key, until);
+        return ctx.state.directory.schedule_expiry(key, until);
     }
     unlist(ctx, key);
 }
 
 /// Removes an endpoint from the list unless it was removed before.
 pub fn unlist(ctx: &mut Context<'_>, key: EndpointKey) {
-    let Some(endpoint) = ctx.state.directory.get(key).filter(|e| !e.gone) else { return };
+    let Some(endpoint) = ctx.state.directory.get(key).filter(|e| !e.unlisted) else { return };
     if !endpoint.info.draining {
-        crash::report_crash(ctx, key, End::Unlisted);
+        crash::report_crash(ctx, key, CrashEvidence::Unlisted);
     }
     let Some(endpoint) = ctx.state.directory.get(key) else { return };
     let line = LogLine::new("endpoint_gone").with("instance", &endpoint.info.instance);
-    ctx.state.entries.ended(&endpoint.info, ctx.now);
+    ctx.state.records.record_end(&endpoint.info, ctx.now);
     ctx.state.directory.unlist(key);
-    ctx.state.call_limits.forget(key);
-    ctx.state.permits.forget(key);
-    ctx.state.grants.close(key);
+    ctx.state.call_limits.remove(key);
+    ctx.state.permit_holder.remove(key);
+    ctx.state.permit_issuer.stop(key);
     ctx.log(line);
     ctx.push(Effect::CloseConnections(key));
 }
--- a/crates/basilbank_forward/src/reduce/finish.rs
+++ b/crates/basilbank_forward/src/reduce/finish.rs
@@ -10,7 +10,7 @@
     reason::Refusal,
     state::{
         Request, State,
-        requests::{Hold, Live, QuotaStage},
+        requests::{ActiveAttempt, Hold, QuotaStage},
     },
 };
 
@@ -49,9 +49,9 @@
 }
 
 /// Releases a hold whose endpoint did not accept the call.
-pub fn release_hold_at(ctx: &mut Context<'_>, id: RequestId, live: &Live) {
+pub fn release_hold_at(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt) {
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    if let Some(hold) = request.draft.hold.take_if(|hold| hold.endpoint == live.endpoint) {
+    if let Some(hold) = request.completion.hold.take_if(|hold| hold.endpoint == live.endpoint) {
         release_hold(ctx, &hold);
     }
 }
@@ -65,8 +65,9 @@
 pub fn release_hold_if_leaving(ctx: &mut Context<'_>, id: RequestId) {
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     let directory = &ctx.state.directory;
-    let is_leaving = |hold: &mut Hold| directory.get(hold.endpoint).is_none_or(|e| !e.takes_work());
-    if let Some(hold) = request.draft.hold.take_if(is_leaving) {
+    let is_leaving =
+        |hold: &mut Hold| directory.get(hold.endpoint).is_none_or(|e| !e.accepts_work());
+    if let Some(hold) = request.completion.hold.take_if(is_leaving) {
         release_hold(ctx, &hold);
         ctx.log_request(id, LogLine::new("hold_dropped").with("hold", &hold.name));
     }
@@ -83,23 +84,23 @@
 
 fn end_request(ctx: &mut Context<'_>, id: RequestId, outcome: &'static str) {
     let Some(mut request) = ctx.state.requests.remove(&id) else { return };
-    ctx.state.drop_timers(id, &request.timers);
+    ctx.state.cancel_timers(id, &request.timers);
     ctx.state.peers.changed |= ctx.state.waiting.contains(&id);
-    ctx.state.permits.waiting.retain(|other| *other != id);
+    ctx.state.permit_holder.waiting.retain(|other| *other != id);
     let duration = ctx.now.saturating_sub(request.arrived);
     let line = LogLine::new("ended")
         .with("request", &request.call.trace_id)
         .with("outcome", outcome)
         .with_ms("took_ms", duration)
-        .with("attempts", request.attempts)
+        .with("attempts", request.attempt_count)
         .with_measurement(Measurement::Request { outcome, duration });
     ctx.log(line);
     // This is determined before the attempts are stopped: an endpoint with a running attempt may
     // have begun the call.
     let may_have_run = request.may_have_run();
-    for live in std::mem::take(&mut request.live) {
+    for live in std::mem::take(&mut request.active_attempts) {
         ctx.push(Effect::Stop { request: id, attempt: live.number });
-        remove_usage(ctx.state, live.endpoint, live.share);
+        remove_usage(ctx.state, live.endpoint, live.usage);
     }
     if let (QuotaStage::Taken { amount }, Some(team), false) =
         (request.quota, &request.team, may_have_run)
@@ -107,14 +108,14 @@
         quota::refund(ctx, team.id, amount);
     }
     release_resources(ctx, request);
-    ctx.state.room = true;
+    ctx.state.capacity_changed = true;
 }
 
 fn release_resources(ctx: &mut Context<'_>, request: Request) {
-    if let Some(hold) = &request.draft.hold {
+    if let Some(hold) = &request.completion.hold {
         release_hold(ctx, hold);
     }
-    if let Some(kv) = request.draft.kv
+    if let Some(kv) = request.completion.kv
         && let Some(target) = ctx.state.directory.target(kv.endpoint)
     {
         ctx.push(Effect::FreeKv { target, handle: kv.handle });
@@ -126,15 +127,17 @@
     fn retry_after(&mut self, id: RequestId, refusal: Refusal, now: Duration) -> Duration {
         let request = self.requests.get(&id);
         let min_delay = match (refusal, request) {
-            (Refusal::Quarantined, Some(request)) => self.quarantine.left(request.call.digest, now),
+            (Refusal::Quarantined, Some(request)) => {
+                self.quarantine.time_left(request.call.digest, now)
+            }
             (Refusal::RateLimited, Some(request)) => {
                 let endpoints = self.endpoints_without_permit(&request.service, now);
-                Some(self.permits.opens(&endpoints).saturating_sub(now))
+                Some(self.permit_holder.available_at(&endpoints).saturating_sub(now))
             }
-            (_, Some(request)) => request.come_back,
+            (_, Some(request)) => request.retry_after,
             _ => None,
         };
-        let base_delay = self.tuning.come_back.mul_f64(0.75 + 0.5 * self.rng.unit());
+        let base_delay = self.tuning.retry_after.mul_f64(0.75 + 0.5 * self.rng.unit());
         base_delay.max(min_delay.unwrap_or_default())
     }
 }
--- a/crates/basilbank_forward/src/reduce/freshness.rs
+++ b/crates/basilbank_forward/src/reduce/freshness.rs
@@ -2,13 +2,13 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use basilbank_wire::{ConfigurationAge, LoadBeat};
+use basilbank_wire::{ConfigurationAge, LoadGossip};
 
 use super::Context;
 
 /// Records that the store answered a query sent at `asked_at` and has no newer version.
 pub fn record_confirmation(ctx: &mut Context<'_>, asked_at: Duration) {
-    ctx.state.freshness.prove(asked_at);
+    ctx.state.freshness.confirm(asked_at);
 }
 
 /// Handles a peer's queries and replies.
@@ -32,20 +32,20 @@
 fn handle_reply(ctx: &mut Context<'_>, message: &ConfigurationAge, age: Duration) {
     // A newer version that the peer has read and this daemon has not may revoke keys.
     if message.version <= ctx.state.routes.version {
-        ctx.state.freshness.prove_by(message.asked, age);
+        ctx.state.freshness.confirm_from_answer(message.asked, age);
     }
 }
 
 /// Queries a peer if a confirmation is due.
 pub fn tick(ctx: &mut Context<'_>) {
-    if ctx.state.proof_due().is_none_or(|due| ctx.now < due) {
+    if ctx.state.confirmation_due().is_none_or(|due| ctx.now < due) {
         return;
     }
-    if let Some((peer, asked)) = ctx.state.ask_for_proof(ctx.now) {
+    if let Some((peer, asked)) = ctx.state.next_confirmation_request(ctx.now) {
         send(ctx, peer, ConfigurationAge { asked, age: None, version: 0 });
     }
 }
 
 fn send(ctx: &mut Context<'_>, to: SocketAddr, message: ConfigurationAge) {
-    ctx.send(vec![to], LoadBeat { ages: vec![message], ..LoadBeat::default() });
+    ctx.send(vec![to], LoadGossip { ages: vec![message], ..LoadGossip::default() });
 }
--- a/crates/basilbank_forward/src/reduce/gossip.rs
+++ b/crates/basilbank_forward/src/reduce/gossip.rs
@@ -6,13 +6,15 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use basilbank_wire::{LoadBeat, ServicePace, Shunned, StoreRevision, WaitingDraft};
+use basilbank_wire::{
+    AvoidedEndpoint, LoadGossip, ServiceGenerationStats, StoreRevision, WaitingCompletion,
+};
 
 use super::{Context, call_limit, crash, freshness, gossip_send, quota};
 use crate::{
     log_line::LogLine,
     state::{
-        Pace, Share,
+        GenerationStats, Usage,
         peers::{Load, Peer, from_wire},
     },
     topic::{Revision, Topic},
@@ -32,7 +34,7 @@
 const STATE_LEAVING: &str = "leaving";
 
 /// Handles a peer's datagram.
-pub fn handle(ctx: &mut Context<'_>, from: SocketAddr, gossip: &LoadBeat) {
+pub fn handle(ctx: &mut Context<'_>, from: SocketAddr, gossip: &LoadGossip) {
     if gossip.sequence == 0 {
         return handle_message(ctx, from, gossip);
     }
@@ -43,16 +45,16 @@
     let is_stale = previous.is_some_and(|peer| {
         (gossip.incarnation, gossip.sequence) <= (peer.incarnation, peer.sequence)
     });
-    if is_stale || Some(from) == peers.own {
+    if is_stale || Some(from) == peers.own_address {
         return;
     }
     let addresses: Vec<_> = gossip.peers.iter().filter_map(|peer| from_wire(*peer)).collect();
     for address in addresses {
-        if !peers.known.contains_key(&address) && Some(address) != peers.own {
-            peers.hints.entry(address).or_insert(now + HINT_LIFETIME);
+        if !peers.known.contains_key(&address) && Some(address) != peers.own_address {
+            peers.candidates.entry(address).or_insert(now + HINT_LIFETIME);
         }
     }
-    peers.hints.remove(&from);
+    peers.candidates.remove(&from);
     let is_new = previous.is_none();
     let is_new_start = previous.is_none_or(|peer| peer.incarnation != gossip.incarnation);
     remove_loads(ctx, from);
@@ -63,7 +65,7 @@
     }
     let loads = resolve_loads(ctx, gossip);
     for load in &loads {
-        ctx.state.directory.others(load.endpoint, load.share);
+        ctx.state.directory.add_peer_usage(load.endpoint, load.usage);
     }
     avoid_reported(ctx, &gossip.shunned);
     crash::handle_gossip(ctx, gossip);
@@ -79,38 +81,38 @@
         (version, _) => version,
     };
     let paces = match previous {
-        Some(peer) if gossip.paces.is_empty() => peer.paces,
+        Some(peer) if gossip.paces.is_empty() => peer.generation_stats,
         _ => gossip.paces.iter().map(stats_from_wire).collect(),
     };
-    ctx.state.peers.doubts += u32::from(lost_store);
+    ctx.state.peers.watcher_losses += u32::from(lost_store);
     let peer = Peer {
         incarnation: gossip.incarnation,
         sequence: gossip.sequence,
-        heard: now,
+        last_seen: now,
         loads,
         waiting: gossip.waiting.iter().map(|waiting| waiting_from_wire(waiting, now)).collect(),
         version,
         watching: gossip.watching,
         leaving: gossip.leaving,
-        paces,
+        generation_stats: paces,
     };
     let is_older = ctx.state.started_before(gossip.incarnation);
     let peers = &mut ctx.state.peers;
     peers.known.insert(from, peer);
-    peers.peak = peers.peak.max(peers.known.len());
-    peers.met(gossip.fleet, is_older);
+    peers.peak_count = peers.peak_count.max(peers.known.len());
+    peers.update_fleet_size(gossip.fleet, is_older);
     if is_new {
         ctx.log(LogLine::new("peer").with("addr", from).with("state", "up"));
     }
     if is_new_start && !gossip.leaving {
         gossip_send::introduce(ctx, from, gossip.incarnation);
     }
-    ctx.state.room = true;
+    ctx.state.capacity_changed = true;
 }
 
 /// Handles a peer's queries and replies, which are sent to this daemon only. Messages from unknown
 /// addresses are ignored.
-fn handle_message(ctx: &mut Context<'_>, from: SocketAddr, gossip: &LoadBeat) {
+fn handle_message(ctx: &mut Context<'_>, from: SocketAddr, gossip: &LoadGossip) {
     if !ctx.state.peers.known.contains_key(&from) {
         return;
     }
@@ -126,8 +128,8 @@
 fn apply_reported_change(ctx: &mut Context<'_>, topic: Topic, reported: Option<StoreRevision>) {
     let Some(StoreRevision { era, number }) = reported else { return };
     let revision = Revision { era, number };
-    if revision != *ctx.state.disproved.get(topic) {
-        let news = ctx.state.news.get_mut(topic);
+    if revision != *ctx.state.missing_revisions.get(topic) {
+        let news = ctx.state.latest_changes.get_mut(topic);
         *news = revision.max(*news);
     }
 }
@@ -136,8 +138,8 @@
 /// configuration; it costs one query.
 pub fn handle_missing_revision(ctx: &mut Context<'_>, topic: Topic, revision: Revision) {
     let read = ctx.state.revision(topic);
-    *ctx.state.disproved.get_mut(topic) = revision;
-    let news = ctx.state.news.get_mut(topic);
+    *ctx.state.missing_revisions.get_mut(topic) = revision;
+    let news = ctx.state.latest_changes.get_mut(topic);
     // Changes that were reported after the query was sent are kept.
     if *news == revision {
         *news = read;
@@ -156,7 +158,7 @@
         .peers
         .known
         .iter()
-        .filter(|(_, peer)| peer.heard + timeout <= now)
+        .filter(|(_, peer)| peer.last_seen + timeout <= now)
         .map(|(address, _)| *address)
         .collect();
     for address in silent {
@@ -164,7 +166,7 @@
         remove_peer(ctx, address, "silent");
     }
     if ctx.state.peers.changed {
-        ctx.state.peers.since.get_or_insert(now);
+        ctx.state.peers.changed_since.get_or_insert(now);
     }
     if ctx.state.peers.probe_due().is_some_and(|at| at <= now) {
         gossip_send::probe_unknown(ctx);
@@ -181,40 +183,44 @@
 
 /// Avoids endpoints that a peer knows to refuse work or to be unreachable. Daemons report only what
 /// they noticed themselves, and never pass a report on, so that a report ends with its cause.
-fn avoid_reported(ctx: &mut Context<'_>, shunned: &[Shunned]) {
+fn avoid_reported(ctx: &mut Context<'_>, shunned: &[AvoidedEndpoint]) {
     let now = ctx.now;
     for reported in shunned {
         let remaining = Duration::from_millis(u64::from(reported.left)).min(MAX_REPORTED_AVOIDANCE);
-        let key = ctx.state.directory.by_hash(reported.endpoint);
+        let key = ctx.state.directory.find_by_hash(reported.endpoint);
         if let Some(endpoint) = key.and_then(|key| ctx.state.directory.get_mut(key)) {
             endpoint.avoid(now + remaining);
         }
     }
 }
 
-fn waiting_from_wire(wire: &WaitingDraft, now: Duration) -> (u32, Duration) {
+fn waiting_from_wire(wire: &WaitingCompletion, now: Duration) -> (u32, Duration) {
     let offset = Duration::from_millis(u64::from(wire.due.unsigned_abs()));
     let due = if wire.due < 0 { now.saturating_sub(offset) } else { now.saturating_add(offset) };
     (wire.service, due)
 }
 
-fn stats_from_wire(wire: &ServicePace) -> (u32, Pace) {
-    let pace = Pace {
+fn stats_from_wire(wire: &ServiceGenerationStats) -> (u32, GenerationStats) {
+    let pace = GenerationStats {
         tokens: f64::from(wire.tokens),
         seconds: f64::from(wire.seconds),
-        squares: f64::from(wire.squares),
-        errors: f64::from(wire.errors),
+        squared_estimates: f64::from(wire.squares),
+        squared_errors: f64::from(wire.errors),
     };
     (wire.service, pace)
 }
 
-fn resolve_loads(ctx: &Context<'_>, gossip: &LoadBeat) -> Vec<Load> {
+fn resolve_loads(ctx: &Context<'_>, gossip: &LoadGossip) -> Vec<Load> {
     let directory = &ctx.state.directory;
     let known = gossip.loads().filter_map(|load| {
-        let endpoint = directory.by_hash(load.endpoint)?;
-        let share =
-            Share { calls: load.calls, tokens: load.tokens, left: load.left, since: Some(ctx.now) };
-        Some(Load { endpoint, share })
+        let endpoint = directory.find_by_hash(load.endpoint)?;
+        let share = Usage {
+            calls: load.calls,
+            tokens: load.tokens,
+            tokens_left: load.tokens_left,
+            generating_since: Some(ctx.now),
+        };
+        Some(Load { endpoint, usage: share })
     });
     known.collect()
 }
@@ -222,13 +228,13 @@
 fn remove_loads(ctx: &mut Context<'_>, from: SocketAddr) {
     let Some(peer) = ctx.state.peers.known.get_mut(&from) else { return };
     for load in std::mem::take(&mut peer.loads) {
-        ctx.state.directory.no_others(load.endpoint, load.share);
+        ctx.state.directory.remove_peer_usage(load.endpoint, load.usage);
     }
 }
 
 fn remove_peer(ctx: &mut Context<'_>, from: SocketAddr, state: &str) {
     if ctx.state.peers.known.remove(&from).is_some() {
-        ctx.state.peers.fleet -= usize::from(state == STATE_LEAVING);
+        ctx.state.peers.fleet_size -= usize::from(state == STATE_LEAVING);
         ctx.log(LogLine::new("peer").with("addr", from).with("state", state));
     }
 }
--- a/crates/basilbank_forward/src/reduce/gossip_send.rs
+++ b/crates/basilbank_forward/src/reduce/gossip_send.rs
@@ -2,14 +2,16 @@
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-use basilbank_wire::{LoadBeat, ServicePace, Shunned, StoreRevision, WaitingDraft};
+use basilbank_wire::{
+    AvoidedEndpoint, LoadGossip, ServiceGenerationStats, StoreRevision, WaitingCompletion,
+};
 
 use super::{Context, call_limit};
 use crate::{
     effect::Effect,
     state::{
-        Place, State,
-        peers::{MANY_PEERS, Peers, to_wire},
+        QueuePosition, State,
+        peers::{MAX_PEERS_UNLIMITED_GOSSIP, Peers, to_wire},
         service_hash,
     },
     topic::{PerTopic, Revision, Topic},
@@ -95,8 +97,8 @@
     let gossip = compose(state, now, scope);
     let bytes = gossip.wire_bytes();
     let peers = &mut state.peers;
-    peers.sent = now;
-    peers.told(now);
+    peers.last_sent = now;
+    peers.record_report(now);
     peers.watching = gossip.watching;
     // Few daemons watch the store, so their heartbeats are a small part of what peers receive. They
     // must not delay the reports of this daemon's load.
@@ -104,9 +106,9 @@
         peers.spend(bytes, now);
     }
     if scope == Scope::Full {
-        peers.whole = now;
-        peers.bytes = bytes;
-        peers.told_news = state.news;
+        peers.heartbeat_sent = now;
+        peers.heartbeat_bytes = bytes;
+        peers.sent_changes = state.latest_changes;
     }
     let mut to = peers.addresses();
     if !to.is_empty() {
@@ -122,8 +124,8 @@
 /// Sends a full datagram to addresses that may belong to nobody, even if there are many changes to
 /// report: daemons that don't know each other both give out an endpoint's capacity.
 pub fn probe_unknown(ctx: &mut Context<'_>) {
-    ctx.state.peers.probed = ctx.now;
-    ctx.state.peers.hints.retain(|_, until| ctx.now < *until);
+    ctx.state.peers.last_probe = ctx.now;
+    ctx.state.peers.candidates.retain(|_, until| ctx.now < *until);
     let mut to: Vec<_> = ctx.state.peers.unknown_addresses().collect();
     to.sort_unstable();
     to.dedup();
@@ -143,7 +145,7 @@
     let peers = &ctx.state.peers;
     // A daemon that started at the same time would learn nothing from the fleet's size.
     if peers.incarnation < incarnation {
-        gossip.fleet = u32::try_from(peers.fleet).unwrap_or(u32::MAX);
+        gossip.fleet = u32::try_from(peers.fleet_size).unwrap_or(u32::MAX);
     }
     ctx.push(Effect::SendGossip { to: vec![to], gossip: Box::new(gossip) });
 }
@@ -165,7 +167,7 @@
     fn named_peers(self, known: usize) -> usize {
         let max_named = match self {
             Scope::Changes => 0,
-            Scope::Full if MANY_PEERS < known => NAMED_PEERS_LARGE_FLEET,
+            Scope::Full if MAX_PEERS_UNLIMITED_GOSSIP < known => NAMED_PEERS_LARGE_FLEET,
             Scope::Full => NAMED_PEERS,
             Scope::Introduction => NAMED_PEERS_INTRODUCTION,
         };
@@ -179,45 +181,46 @@
     fn quarantined_calls(self, known: usize) -> usize {
         match self {
             Scope::Changes => 0,
-            Scope::Full if MANY_PEERS < known => QUARANTINED_CALLS_LARGE_FLEET,
+            Scope::Full if MAX_PEERS_UNLIMITED_GOSSIP < known => QUARANTINED_CALLS_LARGE_FLEET,
             Scope::Full => QUARANTINED_CALLS,
             Scope::Introduction => QUARANTINED_CALLS_INTRODUCTION,
         }
     }
 }
 
-fn compose(state: &mut State, now: Duration, scope: Scope) -> LoadBeat {
-    let shunned = state.directory.shunned(now).map(|(endpoint, left)| {
+fn compose(state: &mut State, now: Duration, scope: Scope) -> LoadGossip {
+    let shunned = state.directory.avoided(now).map(|(endpoint, left)| {
         let left = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        Shunned { endpoint, left }
+        AvoidedEndpoint { endpoint, left }
     });
     let shunned: Vec<_> = shunned.collect();
     // The peers' statistics are combined once per service, not once per endpoint.
     let mut paces_by_service = HashMap::new();
     let pace =
-        |service| *paces_by_service.entry(service).or_insert_with(|| state.growth(service).pace);
+        |service| *paces_by_service.entry(service).or_insert_with(|| state.growth(service).rate);
     let loads: Vec<_> = state.directory.own_loads(now, pace).collect();
     let is_full = scope != Scope::Changes;
     let paces = if is_full { generation_stats(state) } else { Vec::new() };
     let waiting = waiting_completions(state, now);
-    let watching = state.sees_store();
+    let watching = state.is_active_watcher();
     let limits = call_limit::observed_limits(state, now);
-    let crashes = state.crashes.tell_reports(now);
-    let cleared = state.crashes.tell_cleared(now);
-    let quarantined = state.quarantine.tell(scope.quarantined_calls(state.peers.known.len()), now);
+    let crashes = state.crashes.take_reports(now);
+    let cleared = state.crashes.take_cleared(now);
+    let quarantined =
+        state.quarantine.take_reports(scope.quarantined_calls(state.peers.known.len()), now);
     let peers = &mut state.peers;
     peers.sequence += 1;
     let count = peers.known.len();
     let skip = if count == 0 { 0 } else { state.rng.index(count) };
     let named = peers.known.keys().cycle().skip(skip).take(scope.named_peers(count));
-    let gossip = LoadBeat {
+    let gossip = LoadGossip {
         incarnation: peers.incarnation,
         sequence: peers.sequence,
         leaving: state.leaving.is_some(),
         peers: named.filter_map(to_wire).collect(),
         shunned,
-        endpoints_news: peers.revision_to_send(Topic::Endpoints, &state.news, is_full),
-        routes_news: peers.revision_to_send(Topic::Routes, &state.news, is_full),
+        endpoints_news: peers.revision_to_send(Topic::Endpoints, &state.latest_changes, is_full),
+        routes_news: peers.revision_to_send(Topic::Routes, &state.latest_changes, is_full),
         version: if is_full { state.routes.version } else { 0 },
         watching,
         paces,
@@ -226,7 +229,7 @@
         crashes,
         cleared,
         quarantined,
-        ..LoadBeat::default()
+        ..LoadGossip::default()
     };
     gossip.with_loads(loads)
 }
@@ -238,19 +241,22 @@
         if peers.sequence == 0 {
             return Duration::ZERO;
         }
-        let heartbeat = peers.whole + peers.own_heartbeat_interval();
-        let Some(since) = peers.since.filter(|_| peers.changed) else { return heartbeat };
+        let heartbeat = peers.heartbeat_sent + peers.own_heartbeat_interval();
+        let Some(since) = peers.changed_since.filter(|_| peers.changed) else { return heartbeat };
         let per_peer = GOSSIP_INTERVAL_PER_PEER
             .saturating_mul(u32::try_from(peers.known.len()).unwrap_or(u32::MAX));
-        let min_interval =
-            if self.is_blind(peers.sent) { MIN_COLD_START_INTERVAL } else { MIN_GOSSIP_INTERVAL };
+        let min_interval = if self.is_cold_start(peers.last_sent) {
+            MIN_COLD_START_INTERVAL
+        } else {
+            MIN_GOSSIP_INTERVAL
+        };
         // In a smaller fleet a peer's completions wait only milliseconds for their turn, so reports
         // of taken capacity must not be delayed.
         let coalesce_delay =
-            if self.hears_late() { per_peer / COALESCE_DIVISOR } else { Duration::ZERO };
+            if self.is_gossip_limited() { per_peer / COALESCE_DIVISOR } else { Duration::ZERO };
         let due = match peers.urgent {
-            true => (peers.sent + min_interval).max(since + coalesce_delay),
-            false => peers.sent + min_interval.max(per_peer),
+            true => (peers.last_sent + min_interval).max(since + coalesce_delay),
+            false => peers.last_sent + min_interval.max(per_peer),
         };
         due.max(peers.affordable_at()).min(heartbeat)
     }
@@ -259,25 +265,25 @@
 impl Peers {
     /// Returns the addresses that no datagram has come from yet.
     fn unknown_addresses(&self) -> impl Iterator<Item = SocketAddr> {
-        let all = self.seeds.iter().chain(self.hints.keys()).copied();
-        all.filter(|at| !self.known.contains_key(at) && Some(*at) != self.own)
+        let all = self.seeds.iter().chain(self.candidates.keys()).copied();
+        all.filter(|at| !self.known.contains_key(at) && Some(*at) != self.own_address)
     }
 
     /// Returns when unknown addresses are tried next, or `None` if there are none.
     pub(crate) fn probe_due(&self) -> Option<Duration> {
         self.unknown_addresses().next()?;
         let pause =
-            if self.hints.is_empty() { MIN_HEARTBEAT_INTERVAL } else { PEER_PROBE_INTERVAL };
-        Some(if self.sequence == 0 { Duration::ZERO } else { self.probed + pause })
+            if self.candidates.is_empty() { MIN_HEARTBEAT_INTERVAL } else { PEER_PROBE_INTERVAL };
+        Some(if self.sequence == 0 { Duration::ZERO } else { self.last_probe + pause })
     }
 
     /// Returns the time between two heartbeats. It keeps the heartbeats of all peers together
     /// within their fraction of what a daemon may receive.
     pub(super) fn heartbeat_interval(&self) -> Duration {
-        if self.known.len() <= MANY_PEERS {
+        if self.known.len() <= MAX_PEERS_UNLIMITED_GOSSIP {
             return MIN_HEARTBEAT_INTERVAL;
         }
-        let bytes = (self.known.len() * self.bytes) as f64;
+        let bytes = (self.known.len() * self.heartbeat_bytes) as f64;
         let time =
             Duration::from_secs_f64(bytes / (RECEIVED_BYTES_PER_SECOND * HEARTBEAT_FRACTION));
         time.clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
@@ -288,7 +294,7 @@
     pub fn count_in_contact(&self, now: Duration) -> usize {
         let contact_timeout =
             self.heartbeat_interval().mul_f64(CONTACT_HEARTBEATS) + CONTACT_MARGIN;
-        self.known.values().filter(|peer| now < peer.heard + contact_timeout).count()
+        self.known.values().filter(|peer| now < peer.last_seen + contact_timeout).count()
     }
 
     /// Returns the time between two heartbeats of this daemon. It is short if this daemon watches
@@ -300,8 +306,8 @@
     /// Returns whether the next datagram is a heartbeat. In a small fleet every datagram is one.
     fn is_heartbeat_due(&self, now: Duration) -> bool {
         self.sequence == 0
-            || self.known.len() <= MANY_PEERS
-            || self.whole + self.own_heartbeat_interval() <= now
+            || self.known.len() <= MAX_PEERS_UNLIMITED_GOSSIP
+            || self.heartbeat_sent + self.own_heartbeat_interval() <= now
     }
 
     /// Returns when the next datagram may be sent, so that peers receive no more than their limit
@@ -312,9 +318,9 @@
     /// instead delay the rare changes of a daemon with one completion every few seconds, and these
     /// are most of the changes in a large fleet.
     fn affordable_at(&self) -> Duration {
-        match self.known.len() <= MANY_PEERS {
+        match self.known.len() <= MAX_PEERS_UNLIMITED_GOSSIP {
             true => Duration::ZERO,
-            false => self.spent,
+            false => self.bandwidth_used_until,
         }
     }
 
@@ -322,12 +328,13 @@
     fn spend(&mut self, bytes: usize, now: Duration) {
         // The traffic of a small fleet is not limited, and must not block datagrams once the fleet
         // has grown.
-        if self.known.len() <= MANY_PEERS {
+        if self.known.len() <= MAX_PEERS_UNLIMITED_GOSSIP {
             return;
         }
         let oldest_credit = now.saturating_sub(Duration::from_secs_f64(BURST_SECONDS));
         let cost = (self.known.len() * bytes) as f64 / RECEIVED_BYTES_PER_SECOND;
-        self.spent = self.spent.max(oldest_credit) + Duration::from_secs_f64(cost);
+        self.bandwidth_used_until =
+            self.bandwidth_used_until.max(oldest_credit) + Duration::from_secs_f64(cost);
     }
 }
 
@@ -341,22 +348,22 @@
         is_full: bool,
     ) -> Option<StoreRevision> {
         let newest = *latest.get(topic);
-        let has_changed = is_full || *self.told_news.get(topic) != newest;
+        let has_changed = is_full || *self.sent_changes.get(topic) != newest;
         let Revision { era, number } = newest;
         (has_changed && !newest.is_none()).then_some(StoreRevision { era, number })
     }
 }
 
 /// Returns the first of this daemon's waiting completions for each service.
-fn waiting_completions(state: &State, now: Duration) -> Vec<WaitingDraft> {
-    let soonest = now + state.tuning.lead;
-    let mut first_places: HashMap<&str, Place> = HashMap::new();
+fn waiting_completions(state: &State, now: Duration) -> Vec<WaitingCompletion> {
+    let soonest = now + state.tuning.first_token_delay;
+    let mut first_places: HashMap<&str, QueuePosition> = HashMap::new();
     for request in state.waiting.iter().filter_map(|id| state.requests.get(id)) {
-        let place = request.place(soonest);
+        let place = request.queue_position(soonest);
         let first = first_places.entry(&request.service).or_insert(place);
         *first = place.min(*first);
     }
-    let all = first_places.into_iter().map(|(service, place)| WaitingDraft {
+    let all = first_places.into_iter().map(|(service, place)| WaitingCompletion {
         service: service_hash(service),
         due: (place.due.as_millis() as i128 - now.as_millis() as i128) as i32,
     });
@@ -364,13 +371,13 @@
 }
 
 /// Returns the generation statistics of this daemon's own completions.
-fn generation_stats(state: &State) -> Vec<ServicePace> {
-    let all = state.paces.iter().map(|(service, pace)| ServicePace {
+fn generation_stats(state: &State) -> Vec<ServiceGenerationStats> {
+    let all = state.generation_stats.iter().map(|(service, pace)| ServiceGenerationStats {
         service: service_hash(service),
         tokens: pace.tokens as f32,
         seconds: pace.seconds as f32,
-        squares: pace.squares as f32,
-        errors: pace.errors as f32,
+        squares: pace.squared_estimates as f32,
+        errors: pace.squared_errors as f32,
     });
     all.collect()
 }
--- a/crates/basilbank_forward/src/reduce/next_step.rs
+++ b/crates/basilbank_forward/src/reduce/next_step.rs
@@ -6,7 +6,7 @@
     effect::Op,
     endpoint::EndpointKey,
     reason::{Refusal, Retry},
-    state::{Share, requests::Step},
+    state::{Usage, requests::Step},
 };
 
 /// The next step of a request.
@@ -38,7 +38,7 @@
     /// The step of the request that the attempt belongs to.
     pub step: Step,
     /// The usage to count at the endpoint.
-    pub share: Share,
+    pub share: Usage,
     /// Time to wait for an answer.
     pub timeout: Duration,
     /// Whether it counts against the route's attempts.
--- a/crates/basilbank_forward/src/reduce/outcome.rs
+++ b/crates/basilbank_forward/src/reduce/outcome.rs
@@ -8,8 +8,8 @@
     log_line::{LogLine, Measurement},
     reason::Refusal,
     state::{
-        Share,
-        requests::{Hold, Kv, Live, Step},
+        Usage,
+        requests::{ActiveAttempt, Hold, KvCache, Step},
     },
 };
 
@@ -21,17 +21,19 @@
 /// Handles the outcome of an attempt.
 pub fn handle_outcome(ctx: &mut Context<'_>, id: RequestId, number: u32, outcome: Outcome) {
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    let Some(index) = request.live.iter().position(|live| live.number == number) else { return };
-    let live = request.live[index];
+    let Some(index) = request.active_attempts.iter().position(|live| live.number == number) else {
+        return;
+    };
+    let live = request.active_attempts[index];
     let is_streaming = outcome == Outcome::Streaming;
     if !is_streaming {
-        request.live.swap_remove(index);
+        request.active_attempts.swap_remove(index);
     }
     update_endpoint(ctx, &live, &outcome);
     log_outcome(ctx, id, &live, &outcome);
     // The usage of a held slot is counted until the completion ends.
     if !is_streaming && !matches!(outcome, Outcome::Held { .. }) {
-        remove_usage(ctx.state, live.endpoint, live.share);
+        remove_usage(ctx.state, live.endpoint, live.usage);
     }
     match outcome {
         Outcome::Held { hold } => handle_held(ctx, id, &live, hold),
@@ -59,7 +61,7 @@
 }
 
 /// Updates what is known about the endpoint from the outcome.
-fn update_endpoint(ctx: &mut Context<'_>, live: &Live, outcome: &Outcome) {
+fn update_endpoint(ctx: &mut Context<'_>, live: &ActiveAttempt, outcome: &Outcome) {
     match outcome {
         Outcome::Unreachable | Outcome::TimedOut => {
             return suspect::mark_unreachable(ctx, live.endpoint);
@@ -70,26 +72,26 @@
     let (now, tuning) = (ctx.now, ctx.state.tuning.clone());
     let Some(endpoint) = ctx.state.directory.get_mut(live.endpoint) else { return };
     match outcome {
-        Outcome::Held { .. } => endpoint.accepted(),
+        Outcome::Held { .. } => endpoint.record_accepted(),
         Outcome::Finished | Outcome::Unreachable | Outcome::TimedOut => {}
         Outcome::Prefilled { .. } => {
-            let expected = f64::from(live.ahead) / tuning.prefill_rate;
-            endpoint.read(now.saturating_sub(live.began), expected);
+            let expected = f64::from(live.queued_tokens) / tuning.prefill_tokens_per_second;
+            endpoint.record_prefill(now.saturating_sub(live.started), expected);
         }
         Outcome::Answered { .. } | Outcome::Streaming => {
-            endpoint.answered(now.saturating_sub(live.began));
+            endpoint.record_answer(now.saturating_sub(live.started));
         }
-        Outcome::NotRun(NotRun::Busy { .. }) => endpoint.refused(now, &tuning),
+        Outcome::NotRun(NotRun::Busy { .. }) => endpoint.record_refusal(now, &tuning),
         // The list of endpoints is stale: until it is up to date, the address belongs to another
         // instance.
         Outcome::NotRun(NotRun::WrongInstance) => endpoint.avoid(now + tuning.avoid_replaced),
         Outcome::NotRun(NotRun::Other { .. }) => {}
-        Outcome::Broken(_) => endpoint.failed(now, &tuning),
+        Outcome::Broken(_) => endpoint.record_failure(now, &tuning),
     }
 }
 
-fn log_outcome(ctx: &mut Context<'_>, id: RequestId, live: &Live, outcome: &Outcome) {
-    let duration = ctx.now.saturating_sub(live.began);
+fn log_outcome(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt, outcome: &Outcome) {
+    let duration = ctx.now.saturating_sub(live.started);
     let name = outcome.as_str();
     let line = LogLine::new("came")
         .with("attempt", live.number)
@@ -109,36 +111,42 @@
 }
 
 /// Records how fast a complete completion was generated.
-fn record_generation(ctx: &mut Context<'_>, id: RequestId, live: &Live) {
-    let (Some(since), Some(request)) = (live.share.since, ctx.state.requests.get(&id)) else {
+fn record_generation(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt) {
+    let (Some(since), Some(request)) = (live.usage.generating_since, ctx.state.requests.get(&id))
+    else {
         return;
     };
     let duration = ctx.now.saturating_sub(since);
     let service = request.service.clone();
-    let pace = ctx.state.growth(&service).pace;
-    ctx.state.paces.entry(service).or_default().add(live.share.left, duration, pace);
+    let pace = ctx.state.growth(&service).rate;
+    ctx.state.generation_stats.entry(service).or_default().record(
+        live.usage.tokens_left,
+        duration,
+        pace,
+    );
 }
 
-fn handle_held(ctx: &mut Context<'_>, id: RequestId, live: &Live, name: String) {
+fn handle_held(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt, name: String) {
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    if ctx.state.directory.keeps(live.endpoint) {
-        request.draft.asked = 0;
-        request.draft.hold = Some(Hold { endpoint: live.endpoint, name, share: Some(live.share) });
+    if ctx.state.directory.may_keep_state(live.endpoint) {
+        request.completion.hold_attempts = 0;
+        request.completion.hold =
+            Some(Hold { endpoint: live.endpoint, name, usage: Some(live.usage) });
     } else {
         // The hold belonged to the endpoint's former start, or can't be told apart from such a
         // hold.
-        request.draft.asked += 1;
-        remove_usage(ctx.state, live.endpoint, live.share);
+        request.completion.hold_attempts += 1;
+        remove_usage(ctx.state, live.endpoint, live.usage);
     }
     step::proceed(ctx, id);
 }
 
-fn handle_prefilled(ctx: &mut Context<'_>, id: RequestId, live: &Live, handle: String) {
+fn handle_prefilled(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt, handle: String) {
     let now = ctx.now;
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    request.draft.prefills += 1;
-    if ctx.state.directory.keeps(live.endpoint) {
-        request.draft.kv = Some(Kv { endpoint: live.endpoint, handle, made: now });
+    request.completion.prefills += 1;
+    if ctx.state.directory.may_keep_state(live.endpoint) {
+        request.completion.kv = Some(KvCache { endpoint: live.endpoint, handle, made: now });
     }
     step::proceed(ctx, id);
 }
@@ -147,9 +155,10 @@
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     request.maybe_run = true;
     let server_error = 500 <= status;
-    let has_attempts_left = request.counted < request.route.attempts && request.route.repeatable();
+    let has_attempts_left =
+        request.counted_attempts < request.route.max_attempts && request.route.is_repeatable();
     if server_error && has_attempts_left && !request.answering {
-        request.failure = Some(Refusal::Broken);
+        request.last_failure = Some(Refusal::Broken);
         if ctx.state.is_retry_useful(id, ctx.now) {
             return step::proceed(ctx, id);
         }
@@ -161,40 +170,40 @@
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     request.maybe_run = true;
     request.answering = true;
-    request.draft.kv = None;
-    request.draft.hold = None;
-    if let Some(live) = request.live.iter_mut().find(|live| live.number == number) {
-        live.share = ctx.state.directory.started(live.endpoint, live.share, ctx.now);
+    request.completion.kv = None;
+    request.completion.hold = None;
+    if let Some(live) = request.active_attempts.iter_mut().find(|live| live.number == number) {
+        live.usage = ctx.state.directory.start_generation(live.endpoint, live.usage, ctx.now);
     }
     ctx.push(Effect::Deliver { request: id, attempt: number });
 }
 
 /// Counts a call that reached an endpoint and was refused: the next call is an extra one.
-fn count_refusal(ctx: &mut Context<'_>, id: RequestId, live: &Live) {
+fn count_refusal(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt) {
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    request.unpaid += u32::from(live.step != Step::Hold);
+    request.uncharged_refusals += u32::from(live.step != Step::Hold);
 }
 
 /// Handles an attempt that the endpoint did not run. The call may be sent elsewhere, whatever its
 /// kind.
-fn handle_not_run(ctx: &mut Context<'_>, id: RequestId, live: &Live, busy: bool) {
+fn handle_not_run(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt, busy: bool) {
     finish::release_hold_at(ctx, id, live);
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     match live.step {
-        Step::Hold => request.draft.asked += 1,
+        Step::Hold => request.completion.hold_attempts += 1,
         Step::Prefill => {
-            request.failure = Some(Refusal::Full);
+            request.last_failure = Some(Refusal::Full);
         }
         Step::Decode => {
-            request.failure = Some(Refusal::Full);
-            request.counted = request.counted.saturating_sub(1);
+            request.last_failure = Some(Refusal::Full);
+            request.counted_attempts = request.counted_attempts.saturating_sub(1);
             if busy && had_capacity(ctx, live) {
                 handle_lost_kv(ctx, id);
             }
         }
         Step::Whole => {
-            request.failure = Some(Refusal::Full);
-            request.counted = request.counted.saturating_sub(1);
+            request.last_failure = Some(Refusal::Full);
+            request.counted_attempts = request.counted_attempts.saturating_sub(1);
         }
     }
     step::proceed(ctx, id);
@@ -202,50 +211,51 @@
 
 /// Returns whether the decode endpoint, as far as is known, had capacity for the completion that it
 /// refused.
-fn had_capacity(ctx: &Context<'_>, live: &Live) -> bool {
+fn had_capacity(ctx: &Context<'_>, live: &ActiveAttempt) -> bool {
     let directory = &ctx.state.directory;
     let Some(endpoint) = directory.get(live.endpoint) else { return false };
-    let memory = ctx.state.routes.engine(&endpoint.info.service).map_or(0, |e| e.memory);
+    let memory = ctx.state.routes.engine(&endpoint.info.service).map_or(0, |e| e.memory_tokens);
     let growth = ctx.state.growth(&endpoint.info.service);
-    endpoint.peak(Share::default(), ctx.now, growth) < f64::from(memory) * UNCROWDED_MEMORY_FRACTION
+    endpoint.peak_tokens(Usage::default(), ctx.now, growth)
+        < f64::from(memory) * UNCROWDED_MEMORY_FRACTION
 }
 
 /// Handles a KV cache that is lost although a decode endpoint held a slot for it. Its endpoint may
 /// lose more KV caches, and every prompt that it reads would then be read in vain, so all daemons
 /// avoid it for a while.
 fn handle_lost_kv(ctx: &mut Context<'_>, id: RequestId) {
-    let until = ctx.now + ctx.state.tuning.avoid_most;
+    let until = ctx.now + ctx.state.tuning.max_avoid_unreachable;
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    let Some(kv) = request.draft.kv.take() else { return };
+    let Some(kv) = request.completion.kv.take() else { return };
     if let Some(endpoint) = ctx.state.directory.get_mut(kv.endpoint) {
-        endpoint.shun(until);
+        endpoint.avoid_and_report(until);
     }
     ctx.state.peers.changed = true;
     ctx.log_request(id, LogLine::new("kv_lost"));
 }
 
 /// Handles an attempt that was sent and not answered: it may have run.
-fn handle_broken(ctx: &mut Context<'_>, id: RequestId, live: &Live, silent: bool) {
+fn handle_broken(ctx: &mut Context<'_>, id: RequestId, live: &ActiveAttempt, silent: bool) {
     ctx.push(Effect::Stop { request: id, attempt: live.number });
     finish::release_hold_at(ctx, id, live);
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     match live.step {
-        Step::Hold => request.draft.asked += 1,
+        Step::Hold => request.completion.hold_attempts += 1,
         Step::Prefill => {
             // Only a prefill that an endpoint accepted is free, and this one may not have been
             // accepted.
-            request.unpaid += 1;
-            request.draft.prefills += 1;
-            request.failure = Some(Refusal::Broken);
+            request.uncharged_refusals += 1;
+            request.completion.prefills += 1;
+            request.last_failure = Some(Refusal::Broken);
         }
         Step::Decode | Step::Whole => {
             request.maybe_run = true;
-            request.draft.kv = None;
+            request.completion.kv = None;
             let refusal = if silent { Refusal::TimedOut } else { Refusal::Broken };
-            request.failure = Some(refusal);
-            let has_attempts_left =
-                request.counted < request.route.attempts && request.route.repeatable();
-            if !has_attempts_left && request.live.is_empty() {
+            request.last_failure = Some(refusal);
+            let has_attempts_left = request.counted_attempts < request.route.max_attempts
+                && request.route.is_repeatable();
+            if !has_attempts_left && request.active_attempts.is_empty() {
                 return finish::give_up(ctx, id, refusal);
             }
         }
--- a/crates/basilbank_forward/src/reduce/placement.rs
+++ b/crates/basilbank_forward/src/reduce/placement.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     endpoint::{EndpointKey, Stage},
-    state::{Endpoint, Share, State},
+    state::{Endpoint, State, Usage},
 };
 
 /// Fraction of the lowest cost within which endpoints count as equal, so that daemons with the same
@@ -32,13 +32,14 @@
     let remote = state.tuning.remote_cost;
     // A new endpoint counts as the fastest of the others until it is measured. If it counted as
     // slow, it would never be tried and so never be measured.
-    let fastest = state.directory.service(service).filter_map(|(_, e)| e.mean).min();
+    let fastest = state.directory.available(service).filter_map(|(_, e)| e.mean_answer_time).min();
     let fastest = fastest.unwrap_or_default();
-    let permitted = state.directory.service(service).filter(|(key, _)| state.has_permit(*key, now));
+    let permitted =
+        state.directory.available(service).filter(|(key, _)| state.has_permit(*key, now));
     let candidates = permitted.map(|(key, endpoint)| {
-        let mean = endpoint.mean.unwrap_or(fastest);
+        let mean = endpoint.mean_answer_time.unwrap_or(fastest);
         let slots = f64::from(endpoint.info.slots.max(1));
-        let queue = 1.0 + f64::from(endpoint.all_calls()) / slots;
+        let queue = 1.0 + f64::from(endpoint.total_calls()) / slots;
         let remote_cost = if endpoint.info.data_centre == *local { Duration::ZERO } else { remote };
         let cost = mean.as_secs_f64() * queue + remote_cost.as_secs_f64();
         Candidate {
@@ -51,7 +52,7 @@
     let candidates: Vec<_> = candidates.collect();
     match pick_cheapest(state, &candidates, 0.0) {
         Some(key) => PlainChoice::At(key),
-        None if state.directory.service(service).next().is_some() => PlainChoice::Limited,
+        None if state.directory.available(service).next().is_some() => PlainChoice::Limited,
         None => PlainChoice::None,
     }
 }
@@ -73,7 +74,7 @@
     /// The endpoint that keeps its KV cache or will likely read its prompt.
     pub near: Option<EndpointKey>,
     /// The usage that it adds to the endpoint.
-    pub share: Share,
+    pub share: Usage,
     /// Fraction of an endpoint's memory that is given to completions like this one.
     pub memory_fraction: f64,
     /// The session that it belongs to.
@@ -90,17 +91,20 @@
     now: Duration,
 ) -> DecodeChoice {
     let Some(engine) = state.routes.engine(service) else { return DecodeChoice::None };
-    let memory = f64::from(engine.memory.max(1));
+    let memory = f64::from(engine.memory_tokens.max(1));
     let (max_tokens, growth) = (memory * criteria.memory_fraction, state.growth(service));
     let data_centre =
         criteria.near.and_then(|key| state.directory.get(key)).map(|e| e.info.data_centre.clone());
     let data_centre = data_centre.unwrap_or_else(|| state.local.data_centre.clone());
     let mut has_endpoints = false;
-    let endpoints = state.directory.stage(service, Stage::Decode).inspect(|_| has_endpoints = true);
+    let endpoints = state
+        .directory
+        .available_in_stage(service, Stage::Decode)
+        .inspect(|_| has_endpoints = true);
     // An idle endpoint accepts any completion, however large.
     let permitted = endpoints.filter(|(key, _)| state.has_permit(*key, now));
-    let peaks = permitted.map(|(key, e)| (key, e, e.peak(criteria.share, now, growth)));
-    let fitting = peaks.filter(|(_, e, peak)| e.all_calls() == 0 || *peak <= max_tokens);
+    let peaks = permitted.map(|(key, e)| (key, e, e.peak_tokens(criteria.share, now, growth)));
+    let fitting = peaks.filter(|(_, e, peak)| e.total_calls() == 0 || *peak <= max_tokens);
     let candidates = fitting.map(|(key, endpoint, peak)| {
         let used = peak / memory;
         let remote_cost =
@@ -116,7 +120,10 @@
     let candidates: Vec<_> = candidates.collect();
     // Only endpoints that don't answer, or have just refused work, have capacity. A completion that
     // waits for one of the others is served sooner.
-    let has_usable = state.directory.stage(service, Stage::Decode).any(|(_, e)| e.avoided <= now);
+    let has_usable = state
+        .directory
+        .available_in_stage(service, Stage::Decode)
+        .any(|(_, e)| e.avoided_until <= now);
     if has_usable && candidates.iter().all(|candidate| !candidate.avoided_for.is_zero()) {
         return DecodeChoice::Full;
     }
@@ -149,7 +156,7 @@
 ) -> Option<EndpointKey> {
     let weight =
         |endpoint: &Endpoint| xxh3_64_with_seed(endpoint.info.instance.as_bytes(), session);
-    let endpoints = state.directory.stage(service, Stage::Decode);
+    let endpoints = state.directory.available_in_stage(service, Stage::Decode);
     let weights: Vec<_> = endpoints.map(|(key, e)| (weight(e), key)).collect();
     let first = weights.iter().max()?;
     let second = weights.iter().filter(|other| *other != first).max();
@@ -159,7 +166,7 @@
     match (find(first), second.and_then(find)) {
         (Some(first), Some(second)) => {
             let is_crowded =
-                second.cost + HOME_MEMORY_FRACTION < first.cost && !state.is_blind(now);
+                second.cost + HOME_MEMORY_FRACTION < first.cost && !state.is_cold_start(now);
             Some(if is_crowded { second.key } else { first.key })
         }
         (first, second) => first.or(second).map(|candidate| candidate.key),
@@ -198,17 +205,17 @@
     let data_centre =
         near.and_then(|key| state.directory.get(key)).map(|e| e.info.data_centre.clone());
     let data_centre = data_centre.unwrap_or_else(|| state.local.data_centre.clone());
-    let rate = state.tuning.prefill_rate;
+    let rate = state.tuning.prefill_tokens_per_second;
     let remote = match near {
-        Some(_) => state.tuning.remote_kv.as_secs_f64(),
+        Some(_) => state.tuning.remote_kv_cost.as_secs_f64(),
         None => state.tuning.remote_cost.as_secs_f64(),
     };
-    let endpoints = state.directory.stage(service, Stage::Prefill);
+    let endpoints = state.directory.available_in_stage(service, Stage::Prefill);
     let candidates =
         endpoints.filter(|(key, _)| state.has_permit(*key, now)).map(|(key, endpoint)| {
             let remote_cost = if endpoint.info.data_centre == data_centre { 0.0 } else { remote };
-            let cost = f64::from(endpoint.all_tokens() + tokens) / rate * endpoint.slowness
-                + endpoint.base
+            let cost = f64::from(endpoint.total_tokens() + tokens) / rate * endpoint.slowness
+                + endpoint.base_seconds
                 + remote_cost;
             Candidate {
                 key,
@@ -230,9 +237,11 @@
 /// unknown.
 fn unreported_seconds(state: &State, service: &str, candidates: &[Candidate]) -> f64 {
     let mean_stay = candidates.iter().map(|c| c.cost).sum::<f64>() / candidates.len().max(1) as f64;
-    let reported = state.directory.stage(service, Stage::Prefill).map(|(_, e)| e.peer_tokens);
-    let reported: f64 = reported.map(f64::from).sum::<f64>() / state.tuning.prefill_rate;
-    reported * state.peers.untold.as_secs_f64() / mean_stay.max(MIN_STAY_SECONDS)
+    let reported =
+        state.directory.available_in_stage(service, Stage::Prefill).map(|(_, e)| e.peer_tokens);
+    let reported: f64 =
+        reported.map(f64::from).sum::<f64>() / state.tuning.prefill_tokens_per_second;
+    reported * state.peers.report_delay.as_secs_f64() / mean_stay.max(MIN_STAY_SECONDS)
 }
 
 /// Minimum time in seconds that a prompt is assumed to stay at a prefill endpoint; it bounds a
@@ -247,7 +256,7 @@
 }
 
 fn avoided_for(endpoint: &Endpoint, now: Duration) -> Duration {
-    endpoint.avoided.saturating_sub(now)
+    endpoint.avoided_until.saturating_sub(now)
 }
 
 /// Picks an endpoint at random, with odds by which `work` more seconds bring the cheapest endpoints
--- a/crates/basilbank_forward/src/reduce/plain.rs
+++ b/crates/basilbank_forward/src/reduce/plain.rs
@@ -10,17 +10,19 @@
     call::RequestId,
     effect::Op,
     reason::{Refusal, Retry},
-    route::Kind,
-    state::{Share, State, requests::Step},
+    route::RouteKind,
+    state::{State, Usage, requests::Step},
 };
 
 /// Returns the next step: the first attempt, or another one after a failure that allows it.
 pub fn next_step(state: &mut State, id: RequestId, now: Duration) -> NextStep {
     let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
-    let hedge_at = request.arrived + request.route.target.mul_f64(state.tuning.hedge_part);
-    let mut retry = request.repeats().then_some(Retry::NotRun);
-    if !request.live.is_empty() {
-        if request.route.kind != Kind::Idempotent || request.route.attempts <= request.counted {
+    let hedge_at = request.arrived + request.route.target.mul_f64(state.tuning.hedge_fraction);
+    let mut retry = request.is_repeat().then_some(Retry::NotRun);
+    if !request.active_attempts.is_empty() {
+        if request.route.kind != RouteKind::Idempotent
+            || request.route.max_attempts <= request.counted_attempts
+        {
             return NextStep::Wait;
         }
         if now < hedge_at {
@@ -28,25 +30,25 @@
         }
         // Without retry budget the first attempt continues: giving it up would fail a call that is
         // running.
-        if 1 < request.live.len() || !state.is_retry_useful(id, now) {
+        if 1 < request.active_attempts.len() || !state.is_retry_useful(id, now) {
             return NextStep::Wait;
         }
         retry = Some(Retry::Hedge);
     }
     let Some(request) = state.requests.get(&id) else { return NextStep::Wait };
-    if request.route.attempts <= request.counted {
-        return NextStep::GiveUp(request.failure.unwrap_or(Refusal::RetriesExhausted));
+    if request.route.max_attempts <= request.counted_attempts {
+        return NextStep::GiveUp(request.last_failure.unwrap_or(Refusal::RetriesExhausted));
     }
     let (service, tried) = (request.service.clone(), request.tried.clone());
-    let (timeout, streams) = (request.remaining(now), request.route.kind == Kind::Streaming);
-    let waits = request.live.is_empty();
+    let (timeout, streams) = (request.remaining(now), request.route.kind == RouteKind::Streaming);
+    let waits = request.active_attempts.is_empty();
     let endpoint = match placement::pick_plain(state, &service, &tried, now) {
         PlainChoice::At(endpoint) => endpoint,
         PlainChoice::Limited if waits => return NextStep::WaitForPermit,
         PlainChoice::None if waits => return NextStep::GiveUp(Refusal::NoEndpoint),
         PlainChoice::Limited | PlainChoice::None => return NextStep::Wait,
     };
-    let share = Share::plain();
+    let share = Usage::plain();
     let op = if streams { Op::Stream { hold: None } } else { Op::Plain };
     NextStep::Dispatch(Dispatch {
         endpoint,
--- a/crates/basilbank_forward/src/reduce/queue.rs
+++ b/crates/basilbank_forward/src/reduce/queue.rs
@@ -11,7 +11,7 @@
 /// Resumes waiting completions if capacity may have become free. A completion that is given up may
 /// in turn leave capacity for others.
 pub fn resume_waiting(ctx: &mut Context<'_>) {
-    while std::mem::take(&mut ctx.state.room) {
+    while std::mem::take(&mut ctx.state.capacity_changed) {
         resume_once(ctx);
     }
 }
@@ -21,18 +21,18 @@
     if ctx.state.waiting.is_empty() {
         return;
     }
-    ctx.state.served = ctx.now;
-    let soonest = ctx.now + ctx.state.tuning.lead;
+    ctx.state.capacity_checked = ctx.now;
+    let soonest = ctx.now + ctx.state.tuning.first_token_delay;
     let requests = &ctx.state.requests;
     let mut order: Vec<_> = ctx
         .state
         .waiting
         .iter()
-        .filter_map(|id| Some((requests.get(id)?.place(soonest), *id)))
+        .filter_map(|id| Some((requests.get(id)?.queue_position(soonest), *id)))
         .collect();
     order.sort_unstable();
     ctx.state.waiting.clear();
-    ctx.state.line.turn = None;
+    ctx.state.queue.next_turn = None;
     // Services have separate endpoints, so if one service is full, another may not be.
     let mut full_services = HashSet::new();
     for (_, id) in order {
--- a/crates/basilbank_forward/src/reduce/records.rs
+++ b/crates/basilbank_forward/src/reduce/records.rs
@@ -8,9 +8,9 @@
 
 use super::{Context, crash, endpoints, remove_hold_usage};
 use crate::{
-    endpoint::{EndpointInfo, EndpointKey, Says},
+    endpoint::{EndpointInfo, EndpointKey, StartOrder},
     log_line::LogLine,
-    state::{Endpoint, State, crashes::End},
+    state::{Endpoint, State, crashes::CrashEvidence},
 };
 
 /// Where a record comes from.
@@ -34,39 +34,39 @@
 /// endpoint that had the address may be gone.
 pub fn reevaluate_excluded(ctx: &mut Context<'_>) {
     // These records were counted as changes when they were read.
-    let has_news = ctx.state.fresh;
-    for info in ctx.state.entries.aside() {
+    let has_news = ctx.state.records_changed;
+    for info in ctx.state.records.excluded() {
         evaluate(ctx, info, Source::Excluded);
     }
-    ctx.state.fresh = has_news;
+    ctx.state.records_changed = has_news;
 }
 
 fn evaluate(ctx: &mut Context<'_>, mut info: EndpointInfo, source: Source) {
-    if ctx.state.entries.is_former(&info, ctx.now) || is_leftover(ctx, &info, source) {
+    if ctx.state.records.is_before_ended(&info, ctx.now) || is_leftover(ctx, &info, source) {
         return exclude(ctx, info);
     }
-    let is_service_known = ctx.state.entries.names(&info.service);
+    let is_service_known = ctx.state.records.knows_service(&info.service);
     let current = current_start(ctx.state, &info);
-    let same_start = current.filter(|current| current.says == Says::Same);
+    let same_start = current.filter(|current| current.says == StartOrder::Same);
     if let Some(CurrentStart { key, says, was_service_known, .. }) = current {
         match says {
-            Says::Former => return exclude(ctx, info),
-            Says::Same => {}
+            StartOrder::Earlier => return exclude(ctx, info),
+            StartOrder::Same => {}
             // A later start shows that the previous start has ended, whatever service it has now:
             // both have the same id, by which endpoints check that a call is meant for them.
-            Says::Later => end_start(ctx, key),
+            StartOrder::Later => end_start(ctx, key),
             // A record written by something else has replaced the endpoint's own. The endpoint
             // isn't used until it writes its record again. Its calls in progress continue, as after
             // any removed record.
-            Says::Other if was_service_known && !is_service_known => {
-                ctx.state.fresh = true;
+            StartOrder::Different if was_service_known && !is_service_known => {
+                ctx.state.records_changed = true;
                 endpoints::unlist(ctx, key);
                 return exclude(ctx, info);
             }
-            Says::Other => end_start(ctx, key),
+            StartOrder::Different => end_start(ctx, key),
         }
     }
-    info.born = same_start.map_or(info.born, |same_start| same_start.born);
+    info.start_time = same_start.map_or(info.start_time, |same_start| same_start.born);
     // The backup may be older than the endpoint's announcement that it leaves.
     info.draining |=
         source == Source::Restored && same_start.is_some_and(|same_start| same_start.draining);
@@ -82,7 +82,7 @@
 struct CurrentStart {
     key: EndpointKey,
     /// How the record relates to this start.
-    says: Says,
+    says: StartOrder,
     born: Option<u64>,
     addr: SocketAddr,
     draining: bool,
@@ -94,8 +94,8 @@
     let key = state.directory.find(&info.instance)?;
     let previous = &state.directory.get(key)?.info;
     let (says, was_service_known) =
-        (previous.compare(info), state.entries.names(&previous.service));
-    let EndpointInfo { born, addr, draining, .. } = *previous;
+        (previous.compare_start(info), state.records.knows_service(&previous.service));
+    let EndpointInfo { start_time: born, addr, draining, .. } = *previous;
     Some(CurrentStart { key, says, born, addr, draining, was_service_known })
 }
 
@@ -103,35 +103,35 @@
 /// endpoint accepts no work any more, although the record says so until it expires, or until the
 /// endpoint, if it is alive, writes it again.
 fn is_leftover(ctx: &Context<'_>, info: &EndpointInfo, source: Source) -> bool {
-    let is_doubted = ctx.now < ctx.state.directory.doubted;
-    source != Source::Store && is_doubted && ctx.state.entries.has_ended(info, ctx.now)
+    let is_doubted = ctx.now < ctx.state.directory.restore_doubt_until;
+    source != Source::Store && is_doubted && ctx.state.records.has_ended(info, ctx.now)
 }
 
 fn exclude(ctx: &mut Context<'_>, info: EndpointInfo) {
-    ctx.state.fresh |= ctx.state.entries.set_aside(info);
+    ctx.state.records_changed |= ctx.state.records.exclude(info);
 }
 
 fn apply(ctx: &mut Context<'_>, current: Option<EndpointKey>, info: EndpointInfo) {
-    ctx.state.entries.forget(&info.instance);
+    ctx.state.records.remove(&info.instance);
     let line = LogLine::new("endpoint")
         .with("instance", &info.instance)
         .with("addr", info.addr)
         .with("draining", info.draining)
         .with("stage", info.stage.map_or("none", |stage| stage.as_str()));
-    let line = match info.born {
+    let line = match info.start_time {
         None => line,
         Some(born) => line.with("born", born),
     };
     let changed = match current {
         Some(key) => ctx.state.directory.update(key, info),
         None => {
-            ctx.state.roles.grew = ctx.now;
+            ctx.state.roles.list_grew = ctx.now;
             ctx.state.directory.insert(info);
             true
         }
     };
     if changed {
-        ctx.state.fresh = true;
+        ctx.state.records_changed = true;
         ctx.log(line);
     }
 }
@@ -155,15 +155,16 @@
         return false;
     }
     for key in holders {
-        let endpoint = ctx.state.directory.get(key).filter(|endpoint| !endpoint.gone);
+        let endpoint = ctx.state.directory.get(key).filter(|endpoint| !endpoint.unlisted);
         let previous = endpoint.map(|endpoint| endpoint.info.clone());
         end_start(ctx, key);
         // A later configuration may name the service of the previous endpoint.
-        let has_known_service = |info: &EndpointInfo| ctx.state.entries.names(&info.service);
+        let has_known_service =
+            |info: &EndpointInfo| ctx.state.records.knows_service(&info.service);
         if let Some(previous) =
             previous.filter(|previous| !is_service_known || !has_known_service(previous))
         {
-            ctx.state.entries.set_aside(previous);
+            ctx.state.records.exclude(previous);
         }
     }
     true
@@ -182,16 +183,16 @@
     is_service_known: bool,
     source: Source,
 ) -> bool {
-    if endpoint.gone {
+    if endpoint.unlisted {
         return false;
     }
-    let is_own_service_known = state.entries.names(&endpoint.info.service);
+    let is_own_service_known = state.records.knows_service(&endpoint.info.service);
     if is_own_service_known != is_service_known {
         return is_own_service_known;
     }
-    match (endpoint.info.born, info.born) {
+    match (endpoint.info.start_time, info.start_time) {
         (Some(current), Some(new)) => new <= current,
-        (Some(_), None) => !endpoint.lapses(),
+        (Some(_), None) => !endpoint.is_expiring(),
         (None, _) => source == Source::Excluded,
     }
 }
@@ -203,16 +204,16 @@
 /// connections.
 fn end_start(ctx: &mut Context<'_>, key: EndpointKey) {
     if ctx.state.directory.get(key).is_some_and(|endpoint| !endpoint.info.draining) {
-        crash::report_crash(ctx, key, End::Replaced);
+        crash::report_crash(ctx, key, CrashEvidence::Replaced);
     }
     endpoints::unlist(ctx, key);
     let state = &mut *ctx.state;
-    state.suspects.clear(key);
+    state.suspects.remove(key);
     state.roles.ordered.remove(&key);
-    state.directory.end_start(key);
+    state.directory.end_incarnation(key);
     let mut holds = Vec::new();
     for request in state.requests.values_mut() {
-        let completion = &mut request.draft;
+        let completion = &mut request.completion;
         holds.extend(completion.hold.take_if(|hold| hold.endpoint == key));
         completion.kv.take_if(|kv| kv.endpoint == key);
     }
--- a/crates/basilbank_forward/src/reduce/roles.rs
+++ b/crates/basilbank_forward/src/reduce/roles.rs
@@ -59,7 +59,7 @@
     let roles = &mut ctx.state.roles;
     if roles.right != right {
         roles.right = right;
-        roles.since = ctx.now;
+        roles.right_since = ctx.now;
     }
 }
 
@@ -68,12 +68,12 @@
 pub fn handle_order_answer(ctx: &mut Context<'_>, endpoint: EndpointKey, accepted: Acceptance) {
     let switch = ctx.state.directory.get(endpoint).and_then(|e| {
         let engine = ctx.state.routes.engine(&e.info.service)?;
-        Some(engine.switch)
+        Some(engine.stage_change)
     });
     let (Some(switch), true) = (switch, accepted != Acceptance::Refused) else { return };
     let until = ctx.now + switch + STAGE_LISTING_DELAY;
     if let Some(endpoint) = ctx.state.directory.get_mut(endpoint) {
-        endpoint.shun(until);
+        endpoint.avoid_and_report(until);
     }
     ctx.state.peers.changed = true;
 }
@@ -86,14 +86,14 @@
 /// but then the silence costs nothing.
 pub fn detect_suspension(ctx: &mut Context<'_>, now: Now) {
     let offset = i128::from(now.unix_ms()) - now.mono.as_millis() as i128;
-    let previous = ctx.state.roles.offset.replace(offset);
+    let previous = ctx.state.roles.clock_offset_ms.replace(offset);
     let Some(jump) = previous.map(|previous| offset - previous) else { return };
     if jump.unsigned_abs() < MIN_SUSPENSION.as_millis() {
         return;
     }
     ctx.log(LogLine::new("clock_jump").with("jump_ms", jump));
     let roles = &mut ctx.state.roles;
-    roles.since = ctx.now;
+    roles.right_since = ctx.now;
     if roles.right == OrderRight::AtOnce {
         roles.right = OrderRight::AfterSilence;
     }
@@ -108,7 +108,7 @@
     for service in services {
         let Some(engine) = ctx.state.routes.engine(&service) else { continue };
         if !is_service_idle(ctx.state, &service)
-            && ctx.now < ctx.state.roles.last + engine.switch + ORDER_PAUSE
+            && ctx.now < ctx.state.roles.last_order + engine.stage_change + ORDER_PAUSE
         {
             continue;
         }
@@ -123,16 +123,16 @@
     let has_waited = match roles.right {
         OrderRight::None => return false,
         OrderRight::AtOnce => true,
-        OrderRight::AfterSilence => roles.since + ORDER_SILENCE <= now,
+        OrderRight::AfterSilence => roles.right_since + ORDER_SILENCE <= now,
     };
     let is_read_recent = now < state.directory.read_at + MAX_READ_AGE;
-    let is_list_stable = roles.grew + MIN_LIST_STABILITY <= now;
-    has_waited && is_read_recent && is_list_stable && state.ready()
+    let is_list_stable = roles.list_grew + MIN_LIST_STABILITY <= now;
+    has_waited && is_read_recent && is_list_stable && state.is_ready()
 }
 
 /// Returns whether no call is running, so that several stage changes at once cost nothing.
 fn is_service_idle(state: &State, service: &str) -> bool {
-    state.directory.service(service).all(|(_, endpoint)| endpoint.all_calls() == 0)
+    state.directory.available(service).all(|(_, endpoint)| endpoint.total_calls() == 0)
 }
 
 /// Picks a prefill endpoint that isn't needed: the one with the least work in the data centre with
@@ -141,14 +141,15 @@
     let is_ordered = |key: &EndpointKey| state.roles.ordered.contains_key(key);
     let prefill: Vec<_> = state
         .directory
-        .stage(service, Stage::Prefill)
+        .available_in_stage(service, Stage::Prefill)
         .filter(|(key, _)| !is_ordered(key))
         .collect();
-    let decode = state.directory.stage(service, Stage::Decode).count();
-    let changing = state.directory.stage(service, Stage::Prefill).count() - prefill.len();
+    let decode = state.directory.available_in_stage(service, Stage::Decode).count();
+    let changing =
+        state.directory.available_in_stage(service, Stage::Prefill).count() - prefill.len();
     let total = prefill.len() + decode + changing;
-    let memory = state.routes.engine(service)?.memory;
-    let slots = state.directory.service(service).map(|(_, e)| e.info.slots).min()?;
+    let memory = state.routes.engine(service)?.memory_tokens;
+    let slots = state.directory.available(service).map(|(_, e)| e.info.slots).min()?;
     let required = ((total as f64 * prefill_fraction(memory, slots)).floor() as usize)
         .max(MIN_PREFILL_ENDPOINTS);
     if prefill.len() <= required {
@@ -158,7 +159,7 @@
         |place: &str| prefill.iter().filter(|(_, e)| e.info.data_centre == place).count();
     let rank = |e: &crate::state::Endpoint| {
         let count = count_in(&e.info.data_centre);
-        (std::cmp::Reverse(count), e.all_tokens(), e.info.instance.clone())
+        (std::cmp::Reverse(count), e.total_tokens(), e.info.instance.clone())
     };
     prefill.iter().min_by_key(|(_, endpoint)| rank(endpoint)).map(|(key, _)| *key)
 }
@@ -182,11 +183,11 @@
     let revision = ctx.state.directory.revision;
     let roles = &mut ctx.state.roles;
     let number = (revision.era.min(MAX_ERA) << ERA_SHIFT) + (revision.number << ORDER_BITS);
-    roles.fence = number.max(roles.fence + 1);
-    roles.orders += 1;
-    roles.last = ctx.now;
+    roles.last_fence = number.max(roles.last_fence + 1);
+    roles.order_count += 1;
+    roles.last_order = ctx.now;
     roles.ordered.insert(endpoint, ctx.now);
-    let fence = roles.fence;
+    let fence = roles.last_fence;
     let line = LogLine::new("order")
         .with("instance", &target.instance)
         .with("stage", stage.as_str())
--- a/crates/basilbank_forward/src/reduce/step.rs
+++ b/crates/basilbank_forward/src/reduce/step.rs
@@ -14,7 +14,7 @@
     reason::Refusal,
     state::{
         Request, State,
-        requests::{Live, QuotaStage, Step},
+        requests::{ActiveAttempt, QuotaStage, Step},
     },
 };
 
@@ -52,15 +52,15 @@
         NextStep::Wait => {}
         NextStep::WaitUntil(at) => wait_until(ctx, id, at),
         NextStep::WaitForCapacity | NextStep::WaitForTurn(_) => {
-            ctx.state.line.turn = match next {
+            ctx.state.queue.next_turn = match next {
                 NextStep::WaitForTurn(at) => Some(at),
                 _ => None,
             };
             let waiting = ctx.state.waiting.len();
             if wait_for_capacity(ctx, id) {
                 ctx.log_request(id, LogLine::new("waits").with("ahead", waiting));
-                let lead = ctx.state.tuning.lead;
-                let deadline = ctx.state.requests.get(&id).map(|r| r.patience());
+                let lead = ctx.state.tuning.first_token_delay;
+                let deadline = ctx.state.requests.get(&id).map(|r| r.caller_deadline());
                 if let Some(deadline) = deadline {
                     ctx.set_timer(id, deadline.saturating_sub(lead));
                 }
@@ -91,7 +91,7 @@
     if !ctx.state.waiting.contains(&id) {
         ctx.state.waiting.push(id);
     }
-    let completion = ctx.state.requests.get_mut(&id).map(|request| &mut request.draft);
+    let completion = ctx.state.requests.get_mut(&id).map(|request| &mut request.completion);
     let is_first =
         completion.is_some_and(|completion| !std::mem::replace(&mut completion.waited, true));
     ctx.state.peers.changed |= is_first;
@@ -103,13 +103,13 @@
     let now = ctx.now;
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     let max_wait = request.remaining(now) / PERMIT_WAIT_DIVISOR;
-    let is_first = request.permit_by.is_none();
-    let permit_deadline = *request.permit_by.get_or_insert(now + max_wait);
+    let is_first = request.permit_deadline.is_none();
+    let permit_deadline = *request.permit_deadline.get_or_insert(now + max_wait);
     if permit_deadline <= now || !call_limit::request_permit(ctx, id, permit_deadline - now) {
         return finish::give_up(ctx, id, Refusal::RateLimited);
     }
-    if !ctx.state.permits.waiting.contains(&id) {
-        ctx.state.permits.waiting.push(id);
+    if !ctx.state.permit_holder.waiting.contains(&id) {
+        ctx.state.permit_holder.waiting.push(id);
     }
     if is_first {
         ctx.log_request(
@@ -128,32 +128,32 @@
             if request.may_have_run() { Refusal::TimedOut } else { Refusal::WaitTimedOut };
         return finish::give_up(ctx, id, refusal);
     }
-    let lead = ctx.state.tuning.lead;
-    if ctx.state.waiting.contains(&id) && request.patience() <= ctx.now + lead {
+    let lead = ctx.state.tuning.first_token_delay;
+    if ctx.state.waiting.contains(&id) && request.caller_deadline() <= ctx.now + lead {
         return finish::give_up(ctx, id, Refusal::WaitTimedOut);
     }
     let awaits_quota = matches!(request.quota, QuotaStage::Asked { .. });
-    if awaits_quota || ctx.state.permits.waiting.contains(&id) {
+    if awaits_quota || ctx.state.permit_holder.waiting.contains(&id) {
         return proceed(ctx, id);
     }
     if request.resume_at.is_some_and(|at| at <= ctx.now) {
         request.resume_at = None;
-        request.draft.asked = 0;
+        request.completion.hold_attempts = 0;
         proceed(ctx, id);
     }
 }
 
 fn start_attempt(ctx: &mut Context<'_>, id: RequestId, dispatch: Dispatch) {
-    let daemons = ctx.state.sharers(ctx.now);
-    let State { requests, budgets, tuning, .. } = &mut *ctx.state;
+    let daemons = ctx.state.slack_sharers(ctx.now);
+    let State { requests, retry_budgets: budgets, tuning, .. } = &mut *ctx.state;
     let Some(request) = requests.get_mut(&id) else { return };
     if let Some(retry) = dispatch.retry {
         let budget = budgets.entry(request.service.clone()).or_default();
-        if !budget.take(ctx.now, tuning, daemons) {
-            let refusal = request.failure.unwrap_or(Refusal::RetriesExhausted);
+        if !budget.try_take(ctx.now, tuning, daemons) {
+            let refusal = request.last_failure.unwrap_or(Refusal::RetriesExhausted);
             return finish::give_up(ctx, id, refusal);
         }
-        request.unpaid = request.unpaid.saturating_sub(1);
+        request.uncharged_refusals = request.uncharged_refusals.saturating_sub(1);
         let line = LogLine::new("retry").with("reason", retry.as_str());
         let line = line.with_measurement(Measurement::Retry(retry));
         ctx.log_request(id, line);
@@ -165,27 +165,27 @@
 fn send_attempt(ctx: &mut Context<'_>, id: RequestId, dispatch: Dispatch) {
     let Some(target) = ctx.state.directory.target(dispatch.endpoint) else { return };
     let endpoint = ctx.state.directory.get(dispatch.endpoint);
-    let (calls, tokens) = endpoint.map_or((0, 0), |e| (e.all_calls(), e.all_tokens()));
+    let (calls, tokens) = endpoint.map_or((0, 0), |e| (e.total_calls(), e.total_tokens()));
     let ahead = tokens.saturating_add(dispatch.share.tokens);
     let list_age = ctx.now.saturating_sub(ctx.state.directory.read_at);
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
-    let number = request.attempts;
-    request.attempts += 1;
-    request.counted += u32::from(dispatch.counted);
+    let number = request.attempt_count;
+    request.attempt_count += 1;
+    request.counted_attempts += u32::from(dispatch.counted);
     request.tried.push(dispatch.endpoint);
-    let live = Live {
+    let live = ActiveAttempt {
         number,
         endpoint: dispatch.endpoint,
-        share: dispatch.share,
-        ahead,
-        began: ctx.now,
+        usage: dispatch.share,
+        queued_tokens: ahead,
+        started: ctx.now,
         step: dispatch.step,
     };
-    request.live.push(live);
+    request.active_attempts.push(live);
     let remaining = request.remaining(ctx.now);
-    let has_attempts_left = request.counted < request.route.attempts;
+    let has_attempts_left = request.counted_attempts < request.route.max_attempts;
     let stall_timeout =
-        (request.route.resumable && has_attempts_left).then_some(ctx.state.tuning.stall);
+        (request.route.resumable && has_attempts_left).then_some(ctx.state.tuning.stall_timeout);
     let line = LogLine::new("send")
         .with("attempt", number)
         .with("op", dispatch.op.as_str())
@@ -200,7 +200,7 @@
         Attempt { number, target, op: dispatch.op, team, remaining, answer_timeout, stall_timeout };
     // The permit for holding the slot also covers the call that uses it.
     if dispatch.step != Step::Decode {
-        ctx.state.permits.take(dispatch.endpoint);
+        ctx.state.permit_holder.use_permit(dispatch.endpoint);
     }
     add_usage(ctx.state, dispatch.endpoint, dispatch.share);
     if dispatch.step == Step::Decode {
@@ -214,8 +214,8 @@
 /// Removes the usage of the hold that a call has taken. Counting both would make the endpoint look
 /// fuller to all daemons than it is.
 fn replace_hold_usage(state: &mut State, id: RequestId) {
-    let hold = state.requests.get_mut(&id).and_then(|request| request.draft.hold.as_mut());
-    let counted = hold.and_then(|hold| Some((hold.endpoint, hold.share.take()?)));
+    let hold = state.requests.get_mut(&id).and_then(|request| request.completion.hold.as_mut());
+    let counted = hold.and_then(|hold| Some((hold.endpoint, hold.usage.take()?)));
     if let Some((endpoint, share)) = counted {
         remove_usage(state, endpoint, share);
     }
@@ -237,9 +237,9 @@
             return false;
         }
         let (service, tried) = (request.service.clone(), request.tried.clone());
-        let has_untried = self.directory.service(&service).any(|(key, _)| !tried.contains(&key));
-        let daemons = self.sharers(now);
-        let budget = self.budgets.entry(service).or_default();
-        has_untried && 1.0 <= budget.left(now, &self.tuning, daemons)
+        let has_untried = self.directory.available(&service).any(|(key, _)| !tried.contains(&key));
+        let daemons = self.slack_sharers(now);
+        let budget = self.retry_budgets.entry(service).or_default();
+        has_untried && 1.0 <= budget.available(now, &self.tuning, daemons)
     }
 }
--- a/crates/basilbank_forward/src/reduce/suspect.rs
+++ b/crates/basilbank_forward/src/reduce/suspect.rs
@@ -11,7 +11,8 @@
 
 use super::{Context, crash};
 use crate::{
-    effect::Effect, endpoint::EndpointKey, event::Liveness, log_line::LogLine, state::crashes::End,
+    effect::Effect, endpoint::EndpointKey, event::Liveness, log_line::LogLine,
+    state::crashes::CrashEvidence,
 };
 
 /// Pause before an endpoint is probed. It doubles with each probe without an answer.
@@ -30,11 +31,11 @@
 
 /// Marks an endpoint that could not be reached or did not answer in time as unreachable.
 pub fn mark_unreachable(ctx: &mut Context<'_>, key: EndpointKey) {
-    if !ctx.state.directory.keeps(key) {
+    if !ctx.state.directory.may_keep_state(key) {
         return;
     }
     let due = ctx.now + MIN_PROBE_PAUSE;
-    if ctx.state.suspects.add(key, due) {
+    if ctx.state.suspects.add_unreachable(key, due) {
         log_unreachable(ctx, key);
         avoid(ctx, key, due + AVOID_MARGIN);
     }
@@ -43,18 +44,18 @@
 /// Schedules an immediate probe of an endpoint at which an attempt broke off. The endpoint stays in
 /// use until a probe fails.
 pub fn request_probe(ctx: &mut Context<'_>, key: EndpointKey) {
-    if ctx.state.directory.keeps(key) {
-        ctx.state.suspects.doubt(key, ctx.now);
+    if ctx.state.directory.may_keep_state(key) {
+        ctx.state.suspects.add_doubtful(key, ctx.now);
     }
 }
 
 /// Marks an endpoint that did what it was sent as reachable.
 pub fn mark_reachable(ctx: &mut Context<'_>, key: EndpointKey) {
-    if !ctx.state.suspects.clear(key) {
+    if !ctx.state.suspects.remove(key) {
         return;
     }
     let Some(endpoint) = ctx.state.directory.get_mut(key) else { return };
-    endpoint.came_back();
+    endpoint.record_recovery();
     let line = LogLine::new("endpoint_back").with("instance", &endpoint.info.instance);
     ctx.log(line);
     ctx.state.peers.changed = true;
@@ -63,13 +64,13 @@
 /// Handles the result of a probe.
 pub fn handle_probe(ctx: &mut Context<'_>, key: EndpointKey, liveness: Liveness) {
     if liveness == Liveness::Alive {
-        ctx.state.crashes.answered(key);
+        ctx.state.crashes.record_answer(key);
         return mark_reachable(ctx, key);
     }
-    crash::report_crash(ctx, key, End::Dark);
+    crash::report_crash(ctx, key, CrashEvidence::Unreachable);
     let now = ctx.now;
     let Some(suspect) = ctx.state.suspects.get_mut(key) else { return };
-    let is_new = !std::mem::replace(&mut suspect.dark, true);
+    let is_new = !std::mem::replace(&mut suspect.unreachable, true);
     suspect.unanswered += 1;
     let pause = MIN_PROBE_PAUSE.saturating_mul(1 << suspect.unanswered.min(8)).min(MAX_PROBE_PAUSE);
     suspect.due = Some(now + pause);
@@ -81,10 +82,10 @@
 
 /// Sends the probes that are due.
 pub fn tick(ctx: &mut Context<'_>) {
-    while let Some(key) = ctx.state.suspects.ask(ctx.now) {
+    while let Some(key) = ctx.state.suspects.take_due(ctx.now) {
         match ctx.state.directory.target(key) {
             Some(target) => ctx.push(Effect::Probe(target)),
-            None => drop(ctx.state.suspects.clear(key)),
+            None => drop(ctx.state.suspects.remove(key)),
         }
     }
 }
@@ -97,10 +98,11 @@
 }
 
 fn avoid(ctx: &mut Context<'_>, key: EndpointKey, until: Duration) {
-    let is_credible = ctx.state.suspects.dark() * CUT_OFF_DIVISOR <= ctx.state.directory.len();
+    let is_credible =
+        ctx.state.suspects.count_unreachable() * CUT_OFF_DIVISOR <= ctx.state.directory.len();
     let Some(endpoint) = ctx.state.directory.get_mut(key) else { return };
     match is_credible {
-        true => endpoint.shun(until),
+        true => endpoint.avoid_and_report(until),
         false => endpoint.avoid(until),
     }
     ctx.state.peers.changed |= is_credible;
--- a/crates/basilbank_forward/src/route.rs
+++ b/crates/basilbank_forward/src/route.rs
@@ -6,7 +6,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// May run at most once.
@@ -25,7 +25,7 @@
     /// Paths that begin with this; it begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time that a call is kept waiting.
     pub timeout: Duration,
     /// The time within which an answer is on time.
@@ -33,7 +33,7 @@
     /// Services with their weights.
     pub split: Vec<(String, u32)>,
     /// Endpoints that one call may be sent to at the most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// A stream may go on at another endpoint.
     pub resumable: bool,
     /// Its callers need no key.
@@ -43,17 +43,17 @@
 impl Route {
     /// A call on this route may run more than once.
     #[must_use]
-    pub fn repeatable(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.kind {
-            Kind::Idempotent => true,
-            Kind::NonIdempotent => false,
-            Kind::Streaming => self.resumable,
+            RouteKind::Idempotent => true,
+            RouteKind::NonIdempotent => false,
+            RouteKind::Streaming => self.resumable,
         }
     }
 
     /// The service for a number from 0 up to but without 1.
     #[must_use]
-    pub fn service(&self, unit: f64) -> Option<&str> {
+    pub fn pick_service(&self, unit: f64) -> Option<&str> {
         let total: u32 = self.split.iter().map(|(_, weight)| weight).sum();
         let mut left = unit * f64::from(total);
         for (service, weight) in &self.split {
@@ -77,36 +77,36 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct EngineInfo {
     /// Tokens that an endpoint's memory holds.
-    pub memory: u32,
+    pub memory_tokens: u32,
     /// How long a KV cache waits to be taken.
-    pub kept: Duration,
+    pub kv_ttl: Duration,
     /// How long an endpoint takes to change its stage.
-    pub switch: Duration,
+    pub stage_change: Duration,
     /// The longest that a slot can be held ahead of a call; zero when it can't be.
-    pub hold: Duration,
+    pub max_hold: Duration,
 }
 
 /// What callers may send.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Bounds {
+pub struct RequestLimits {
     /// Largest request head in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Largest request body in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Longest time for a request's head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl Default for Bounds {
+impl Default for RequestLimits {
     /// Holds until a configuration is known: what common servers take.
-    fn default() -> Bounds {
-        Bounds {
-            head: 16 << 10,
-            body: 4 << 20,
-            head_time: Duration::from_secs(5),
-            idle: Duration::from_secs(15),
+    fn default() -> RequestLimits {
+        RequestLimits {
+            head_bytes: 16 << 10,
+            body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -119,7 +119,7 @@
     /// Services by name.
     pub services: HashMap<String, Service>,
     /// What callers may send.
-    pub bounds: Bounds,
+    pub limits: RequestLimits,
     /// The teams; none where callers need no keys.
     pub teams: Option<Teams>,
     routes: Vec<Route>,
@@ -164,8 +164,8 @@
 
     /// With what callers may send.
     #[must_use]
-    pub fn with_bounds(mut self, bounds: Bounds) -> RouteTable {
-        self.bounds = bounds;
+    pub fn with_limits(mut self, limits: RequestLimits) -> RouteTable {
+        self.limits = limits;
         self
     }
 
--- a/crates/basilbank_forward/src/state/directory.rs
+++ b/crates/basilbank_forward/src/state/directory.rs
@@ -9,7 +9,7 @@
 use crate::{
     effect::Target,
     endpoint::{EndpointInfo, EndpointKey, Stage},
-    state::{Endpoint, Share},
+    state::{Endpoint, Usage},
     topic::Revision,
 };
 
@@ -21,9 +21,9 @@
     /// When the list was last confirmed.
     pub read_at: Duration,
     /// Until then what is read at large may be the store's copy, older than what was read before.
-    pub doubted: Duration,
+    pub restore_doubt_until: Duration,
     /// A read failed since.
-    pub lost: bool,
+    pub store_lost: bool,
     endpoints: SlotMap<EndpointKey, Endpoint>,
     /// Each instance's present start.
     instances: HashMap<String, EndpointKey>,
@@ -59,53 +59,53 @@
     }
 
     /// The endpoints of a service that take new work.
-    pub fn service<'a>(
+    pub fn available<'a>(
         &'a self,
         name: &str,
     ) -> impl Iterator<Item = (EndpointKey, &'a Endpoint)> + use<'a> {
         let keys = self.services.get(name).map(Vec::as_slice).unwrap_or_default();
         let all = keys.iter().filter_map(|key| Some((*key, self.endpoints.get(*key)?)));
-        all.filter(|(_, endpoint)| endpoint.takes_work())
+        all.filter(|(_, endpoint)| endpoint.accepts_work())
     }
 
     /// The endpoints of a service with this stage that take new work.
-    pub fn stage<'a>(
+    pub fn available_in_stage<'a>(
         &'a self,
         name: &str,
         stage: Stage,
     ) -> impl Iterator<Item = (EndpointKey, &'a Endpoint)> + use<'a> {
-        self.service(name).filter(move |(_, e)| e.info.stage == Some(stage))
+        self.available(name).filter(move |(_, e)| e.info.stage == Some(stage))
     }
 
     /// Listed endpoints.
     pub fn listed(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
-        self.endpoints.iter().filter(|(_, endpoint)| !endpoint.gone)
+        self.endpoints.iter().filter(|(_, endpoint)| !endpoint.unlisted)
     }
 
     /// What a call to it needs; `None` also when it is over, for another one may answer there: names of
     /// holds and KV caches could be that one's own.
     #[must_use]
     pub fn target(&self, key: EndpointKey) -> Option<Target> {
-        let info = &self.endpoints.get(key).filter(|e| !e.over)?.info;
+        let info = &self.endpoints.get(key).filter(|e| !e.ended)?.info;
         Some(Target { endpoint: key, instance: info.instance.clone(), addr: info.addr })
     }
 
     /// What it held for calls may still be there.
     #[must_use]
-    pub fn keeps(&self, key: EndpointKey) -> bool {
-        self.endpoints.get(key).is_some_and(|endpoint| !endpoint.over)
+    pub fn may_keep_state(&self, key: EndpointKey) -> bool {
+        self.endpoints.get(key).is_some_and(|endpoint| !endpoint.ended)
     }
 
     /// Takes an entry of a known start in; true when it has changed.
     pub fn update(&mut self, key: EndpointKey, info: EndpointInfo) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(key) else { return false };
-        endpoint.expires = None;
-        let changed = endpoint.gone || endpoint.info != info;
-        endpoint.gone = false;
+        endpoint.expires_at = None;
+        let changed = endpoint.unlisted || endpoint.info != info;
+        endpoint.unlisted = false;
         let (before, addr) = (endpoint.info.addr, info.addr);
         endpoint.info = info;
         if before != addr {
-            self.leave_address(before, key);
+            self.release_address(before, key);
             self.addresses.entry(addr).or_default().push(key);
         }
         changed
@@ -114,7 +114,7 @@
     /// Takes a start in that is not known.
     pub fn insert(&mut self, info: EndpointInfo) -> EndpointKey {
         let (instance, service) = (info.instance.clone(), info.service.clone());
-        let (hash, addr) = (start_hash(&info), info.addr);
+        let (hash, addr) = (incarnation_hash(&info), info.addr);
         let key = self.endpoints.insert(Endpoint::new(info));
         self.addresses.entry(addr).or_default().push(key);
         self.hashes.insert(hash, key);
@@ -139,7 +139,7 @@
         there.copied().filter(other).collect()
     }
 
-    fn leave_address(&mut self, addr: SocketAddr, key: EndpointKey) {
+    fn release_address(&mut self, addr: SocketAddr, key: EndpointKey) {
         let Some(there) = self.addresses.get_mut(&addr) else { return };
         there.retain(|other| *other != key);
         if there.is_empty() {
@@ -148,92 +148,92 @@
     }
 
     /// Takes an endpoint off the list at `at` unless it is listed again before.
-    pub fn expire(&mut self, key: EndpointKey, at: Duration) {
-        if let Some(endpoint) = self.endpoints.get_mut(key).filter(|endpoint| !endpoint.gone) {
-            endpoint.expires.get_or_insert(at);
+    pub fn schedule_expiry(&mut self, key: EndpointKey, at: Duration) {
+        if let Some(endpoint) = self.endpoints.get_mut(key).filter(|endpoint| !endpoint.unlisted) {
+            endpoint.expires_at.get_or_insert(at);
         }
     }
 
     /// Endpoints whose time is over at `now`, to be unlisted.
     #[must_use]
     pub fn expired(&self, now: Duration) -> Vec<EndpointKey> {
-        let due = |e: &Endpoint| e.expires.is_some_and(|at| at <= now);
+        let due = |e: &Endpoint| e.expires_at.is_some_and(|at| at <= now);
         self.endpoints.iter().filter(|(_, e)| due(e)).map(|(key, _)| key).collect()
     }
 
     /// When the next endpoint's time is over.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
-        self.endpoints.values().filter_map(|e| e.expires).min()
+        self.endpoints.values().filter_map(|e| e.expires_at).min()
     }
 
     /// Takes an endpoint off the list. It is removed once it has no calls.
     pub fn unlist(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.gone = true;
-            endpoint.expires = None;
+            endpoint.unlisted = true;
+            endpoint.expires_at = None;
         }
-        self.remove_idle(key);
+        self.remove_if_idle(key);
     }
 
     /// Ends an endpoint for good: it is not found by its instance any more, and an entry can't bring it
     /// back. It is removed once it has no calls.
-    pub fn end_start(&mut self, key: EndpointKey) {
+    pub fn end_incarnation(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get_mut(key) else { return };
-        endpoint.gone = true;
-        endpoint.over = true;
-        endpoint.expires = None;
+        endpoint.unlisted = true;
+        endpoint.ended = true;
+        endpoint.expires_at = None;
         let addr = endpoint.info.addr;
         if self.instances.get(&endpoint.info.instance) == Some(&key) {
             self.instances.remove(&endpoint.info.instance);
         }
-        self.leave_address(addr, key);
-        self.remove_idle(key);
+        self.release_address(addr, key);
+        self.remove_if_idle(key);
     }
 
     /// Counts a call, and its tokens.
-    pub fn begin(&mut self, key: EndpointKey, share: Share) {
+    pub fn add_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.calls += share.calls;
-            endpoint.tokens = endpoint.tokens.saturating_add(share.tokens);
-            if share.tokens != 0 {
-                endpoint.own.push(share);
+            endpoint.calls += usage.calls;
+            endpoint.tokens = endpoint.tokens.saturating_add(usage.tokens);
+            if usage.tokens != 0 {
+                endpoint.own_usage.push(usage);
             }
         }
     }
 
     /// A draft begins to be generated; what it takes from then on.
-    pub fn started(&mut self, key: EndpointKey, share: Share, now: Duration) -> Share {
-        let running = Share { since: Some(now), ..share };
-        let own = self.endpoints.get_mut(key).map(|endpoint| &mut endpoint.own);
-        if let Some(known) = own.and_then(|own| own.iter_mut().find(|known| **known == share)) {
+    pub fn start_generation(&mut self, key: EndpointKey, usage: Usage, now: Duration) -> Usage {
+        let running = Usage { generating_since: Some(now), ..usage };
+        let own = self.endpoints.get_mut(key).map(|endpoint| &mut endpoint.own_usage);
+        if let Some(known) = own.and_then(|own| own.iter_mut().find(|known| **known == usage)) {
             *known = running;
         }
         running
     }
 
-    /// Undoes [`Directory::begin`].
-    pub fn end(&mut self, key: EndpointKey, share: Share) {
+    /// Undoes [`Directory::add_usage`].
+    pub fn remove_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            let counted = share.calls <= endpoint.calls && share.tokens <= endpoint.tokens;
-            debug_assert!(counted, "ended twice");
-            endpoint.calls = endpoint.calls.saturating_sub(share.calls);
-            endpoint.tokens = endpoint.tokens.saturating_sub(share.tokens);
-            remove(&mut endpoint.own, share);
+            let counted = usage.calls <= endpoint.calls && usage.tokens <= endpoint.tokens;
+            debug_assert!(counted, "usage was removed twice");
+            endpoint.calls = endpoint.calls.saturating_sub(usage.calls);
+            endpoint.tokens = endpoint.tokens.saturating_sub(usage.tokens);
+            remove_from(&mut endpoint.own_usage, usage);
         }
-        self.remove_idle(key);
+        self.remove_if_idle(key);
     }
 
     /// The start that peers name by this hash.
     #[must_use]
-    pub fn by_hash(&self, hash: u32) -> Option<EndpointKey> {
+    pub fn find_by_hash(&self, hash: u32) -> Option<EndpointKey> {
         self.hashes.get(&hash).copied()
     }
 
     /// How peers name an endpoint.
     #[must_use]
     pub fn hash(&self, key: EndpointKey) -> Option<u32> {
-        self.endpoints.get(key).map(|endpoint| start_hash(&endpoint.info))
+        self.endpoints.get(key).map(|endpoint| incarnation_hash(&endpoint.info))
     }
 
     /// What this daemon has at endpoints.
@@ -242,54 +242,54 @@
     pub fn own_loads<'a>(
         &'a self,
         now: Duration,
-        mut pace: impl FnMut(&'a str) -> f64,
+        mut rate: impl FnMut(&'a str) -> f64,
     ) -> impl Iterator<Item = EndpointLoad> {
         let busy = self.endpoints.values().filter(|e| e.calls != 0);
         busy.map(move |e| {
-            let pace = if e.own.is_empty() { 0.0 } else { pace(&e.info.service) };
-            let left: f64 = e.own.iter().map(|share| share.left(now, pace)).sum();
+            let rate = if e.own_usage.is_empty() { 0.0 } else { rate(&e.info.service) };
+            let left: f64 = e.own_usage.iter().map(|usage| usage.tokens_left(now, rate)).sum();
             EndpointLoad {
-                endpoint: start_hash(&e.info),
+                endpoint: incarnation_hash(&e.info),
                 tokens: e.tokens,
                 calls: e.calls,
-                left: left as u32,
+                tokens_left: left as u32,
             }
         })
     }
 
     /// Endpoints that peers should leave alone: the start's hash, and how much longer.
-    pub fn shunned(&self, now: Duration) -> impl Iterator<Item = (u32, Duration)> {
-        let shunned = self.endpoints.values().filter(move |e| now < e.shunned);
-        shunned.map(move |e| (start_hash(&e.info), e.shunned - now))
+    pub fn avoided(&self, now: Duration) -> impl Iterator<Item = (u32, Duration)> {
+        let avoided = self.endpoints.values().filter(move |e| now < e.reported_until);
+        avoided.map(move |e| (incarnation_hash(&e.info), e.reported_until - now))
     }
 
     /// Counts a peer's calls.
-    pub fn others(&mut self, key: EndpointKey, share: Share) {
+    pub fn add_peer_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.peer_tokens = endpoint.peer_tokens.saturating_add(share.tokens);
-            endpoint.peer_calls = endpoint.peer_calls.saturating_add(share.calls);
-            if share.tokens != 0 {
-                endpoint.others.push(share);
+            endpoint.peer_tokens = endpoint.peer_tokens.saturating_add(usage.tokens);
+            endpoint.peer_calls = endpoint.peer_calls.saturating_add(usage.calls);
+            if usage.tokens != 0 {
+                endpoint.peer_usage.push(usage);
             }
         }
     }
 
-    /// Undoes [`Directory::others`].
-    pub fn no_others(&mut self, key: EndpointKey, share: Share) {
+    /// Undoes [`Directory::add_peer_usage`].
+    pub fn remove_peer_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.peer_tokens = endpoint.peer_tokens.saturating_sub(share.tokens);
-            endpoint.peer_calls = endpoint.peer_calls.saturating_sub(share.calls);
-            remove(&mut endpoint.others, share);
+            endpoint.peer_tokens = endpoint.peer_tokens.saturating_sub(usage.tokens);
+            endpoint.peer_calls = endpoint.peer_calls.saturating_sub(usage.calls);
+            remove_from(&mut endpoint.peer_usage, usage);
         }
     }
 
-    fn remove_idle(&mut self, key: EndpointKey) {
-        if !self.endpoints.get(key).is_some_and(|e| e.gone && e.calls == 0) {
+    fn remove_if_idle(&mut self, key: EndpointKey) {
+        if !self.endpoints.get(key).is_some_and(|e| e.unlisted && e.calls == 0) {
             return;
         }
         let Some(endpoint) = self.endpoints.remove(key) else { return };
-        let (hash, instance) = (start_hash(&endpoint.info), &endpoint.info.instance);
-        self.leave_address(endpoint.info.addr, key);
+        let (hash, instance) = (incarnation_hash(&endpoint.info), &endpoint.info.instance);
+        self.release_address(endpoint.info.addr, key);
         // A later start has the instance's name by now.
         if self.hashes.get(&hash) == Some(&key) {
             self.hashes.remove(&hash);
@@ -303,20 +303,20 @@
     }
 }
 
-fn remove(shares: &mut Vec<Share>, share: Share) {
-    if let Some(at) = shares.iter().position(|known| *known == share) {
-        shares.swap_remove(at);
+fn remove_from(usages: &mut Vec<Usage>, usage: Usage) {
+    if let Some(at) = usages.iter().position(|known| *known == usage) {
+        usages.swap_remove(at);
     }
 }
 
 /// How peers name a start of an instance to each other: daemons that learn of a new start at different
 /// times must not take the former one's load for its own. Two that share a hash, one in ten thousand
 /// fleets of 840, count each other's load.
-fn start_hash(info: &EndpointInfo) -> u32 {
+fn incarnation_hash(info: &EndpointInfo) -> u32 {
     let name = info.instance.as_bytes();
-    let hash = match info.born {
+    let hash = match info.start_time {
         None => xxh3_64(name),
-        Some(born) => xxh3_64_with_seed(name, born),
+        Some(start_time) => xxh3_64_with_seed(name, start_time),
     };
     hash as u32
 }
--- a/crates/basilbank_forward/src/state/local.rs
+++ b/crates/basilbank_forward/src/state/local.rs
@@ -4,12 +4,12 @@
 
 /// Which start of the system a daemon's start belongs to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Start {
+pub enum SystemStart {
     /// The whole system starts for the first time.
     #[default]
     First,
     /// It has run before.
-    Again,
+    Restart,
 }
 
 /// The daemon shuts down.
@@ -23,7 +23,7 @@
 
 /// Time after which callers no longer come to a daemon that leaves but over connections that were
 /// opened before: the balancer asks once a second, and takes it out after two answers other than 200.
-const NOTICED: Duration = Duration::from_millis(2500);
+const BALANCER_REACTION_TIME: Duration = Duration::from_millis(2500);
 
 impl Leaving {
     /// A call that may last until `deadline` isn't taken: it may be cut, and another daemon takes it when
@@ -31,7 +31,7 @@
     /// here; most calls end long before their deadline, so they are taken then.
     #[must_use]
     pub fn refuses(&self, now: Duration, deadline: Duration) -> bool {
-        self.since + NOTICED <= now && self.until < deadline
+        self.since + BALANCER_REACTION_TIME <= now && self.until < deadline
     }
 }
 
@@ -47,7 +47,7 @@
     /// Its process's start, milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// Which start of the system this is.
-    pub start: Start,
+    pub start: SystemStart,
     /// Where its peers reach it.
     pub address: Option<SocketAddr>,
     /// Addresses at which peers may be found.
@@ -73,7 +73,7 @@
 
     /// With the start of the system that this one belongs to.
     #[must_use]
-    pub fn with_start(mut self, start: Start) -> Local {
+    pub fn with_start(mut self, start: SystemStart) -> Local {
         self.start = start;
         self
     }
--- a/crates/basilbank_forward/src/state/elect.rs
+++ b/crates/basilbank_forward/src/state/owner.rs
@@ -12,15 +12,20 @@
     /// It is the one with the highest hash of all that are heard and may do it, so nobody has to be asked,
     /// and a daemon that comes or goes changes it for few things.
     #[must_use]
-    pub fn elected(&self, thing: u64, may: impl Fn(&SocketAddr) -> bool) -> Option<SocketAddr> {
+    pub fn remote_owner(
+        &self,
+        subject: u64,
+        is_eligible: impl Fn(&SocketAddr) -> bool,
+    ) -> Option<SocketAddr> {
         let weight = |address: &SocketAddr| {
             let peer = to_wire(address)?;
             let name = [peer.ip.to_be_bytes(), peer.port.to_be_bytes()].concat();
-            Some((xxh3_64_with_seed(&name, thing), *address))
+            Some((xxh3_64_with_seed(&name, subject), *address))
         };
-        let staying = self.peers.known.iter().filter(|(at, peer)| !peer.leaving && may(at));
+        let staying = self.peers.known.iter().filter(|(at, peer)| !peer.leaving && is_eligible(at));
         let first = staying.filter_map(|(address, _)| weight(address)).max()?;
-        let own = self.peers.own.as_ref().and_then(weight).filter(|_| self.leaving.is_none());
+        let own =
+            self.peers.own_address.as_ref().and_then(weight).filter(|_| self.leaving.is_none());
         (own < Some(first)).then_some(first.1)
     }
 }
--- a/crates/basilbank_forward/src/state/peers.rs
+++ b/crates/basilbank_forward/src/state/peers.rs
@@ -8,7 +8,7 @@
 
 use basilbank_wire::PeerAddress;
 
-use super::{Pace, Share};
+use super::{GenerationStats, Usage};
 use crate::{
     endpoint::EndpointKey,
     topic::{PerTopic, Revision},
@@ -22,7 +22,7 @@
     /// Its last datagram.
     pub sequence: u64,
     /// When that came.
-    pub heard: Duration,
+    pub last_seen: Duration,
     /// What it has at endpoints.
     pub loads: Vec<Load>,
     /// When the first of its waiting drafts is due, by hashes of the services' names.
@@ -34,7 +34,7 @@
     /// It shuts down.
     pub leaving: bool,
     /// How fast its drafts were generated, by hashes of the services' names.
-    pub paces: Vec<(u32, Pace)>,
+    pub generation_stats: Vec<(u32, GenerationStats)>,
 }
 
 /// What a peer has at an endpoint.
@@ -43,31 +43,31 @@
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// What its calls take there.
-    pub share: Share,
+    pub usage: Usage,
 }
 
 /// All of them, and this daemon's own datagrams.
 #[derive(Debug, Default)]
 pub struct Peers {
     /// This daemon's own address, which peers may name to it.
-    pub own: Option<SocketAddr>,
+    pub own_address: Option<SocketAddr>,
     /// By address.
     pub known: HashMap<SocketAddr, Peer>,
     /// Addresses that were named by settings or peers, and from which nothing has come yet; with
     /// the time until which they are tried.
-    pub hints: HashMap<SocketAddr, Duration>,
+    pub candidates: HashMap<SocketAddr, Duration>,
     /// Addresses of the settings. They are tried for ever: a daemon that was cut off finds the
     /// others again through them.
     pub seeds: Vec<SocketAddr>,
     /// The most peers that were known at once.
-    pub peak: usize,
+    pub peak_count: usize,
     /// Daemons that there are, this one included: the most that were known at once, less those that have left
     /// by themselves. Those that fell silent may be cut off, and serve callers.
-    pub fleet: usize,
+    pub fleet_size: usize,
     /// A daemon that started long before this one has told how many there are.
-    pub fleet_told: bool,
+    pub fleet_reported: bool,
     /// How often one that watched the store has said that it doesn't see it any more.
-    pub doubts: u32,
+    pub watcher_losses: u32,
     /// The time of the last turn: the age of peers' words is counted until then.
     pub now: Duration,
     /// This daemon has said that it watches the store for others.
@@ -77,41 +77,41 @@
     /// The last datagram that was sent.
     pub sequence: u64,
     /// When the last heartbeat was sent: a datagram that tells everything.
-    pub whole: Duration,
+    pub heartbeat_sent: Duration,
     /// Bytes that it took on the wire.
-    pub bytes: usize,
+    pub heartbeat_bytes: usize,
     /// The news that it told.
-    pub told_news: PerTopic<Revision>,
+    pub sent_changes: PerTopic<Revision>,
     /// Until then the bytes that were sent take what peers may receive.
-    pub spent: Duration,
+    pub bandwidth_used_until: Duration,
     /// When it was sent.
-    pub sent: Duration,
+    pub last_sent: Duration,
     /// When addresses were last tried from which nothing has come.
-    pub probed: Duration,
+    pub last_probe: Duration,
     /// What this daemon has at endpoints has changed since.
     pub changed: bool,
     /// Since when, as far as a turn of the reducer tells.
-    pub since: Option<Duration>,
+    pub changed_since: Option<Duration>,
     /// It has taken room at an endpoint since.
     pub urgent: bool,
     /// How long a change of this daemon's stays untold, on average; peers tell theirs as late.
-    pub untold: Duration,
+    pub report_delay: Duration,
 }
 
 /// Beyond this many peers what a daemon receives a second is bounded, whatever there is to tell.
-pub const MANY_PEERS: usize = 80;
+pub const MAX_PEERS_UNLIMITED_GOSSIP: usize = 80;
 
-/// Weight of a new delay in the mean of [`Peers::untold`]: some ten datagrams.
+/// Weight of a new delay in the mean of [`Peers::report_delay`]: some ten datagrams.
 const DELAY_WEIGHT: f64 = 0.1;
 
 impl Peers {
     /// A peer is heard, and tells how many daemons there are. One that has met them before knows better than
     /// a daemon that has just started.
-    pub fn met(&mut self, fleet: u32, is_older: bool) {
-        if is_older && fleet != 0 && !std::mem::replace(&mut self.fleet_told, true) {
-            self.fleet = self.fleet.max(usize::try_from(fleet).unwrap_or_default());
+    pub fn update_fleet_size(&mut self, reported: u32, is_older: bool) {
+        if is_older && reported != 0 && !std::mem::replace(&mut self.fleet_reported, true) {
+            self.fleet_size = self.fleet_size.max(usize::try_from(reported).unwrap_or_default());
         }
-        self.fleet = self.fleet.max(self.known.len() + 1);
+        self.fleet_size = self.fleet_size.max(self.known.len() + 1);
     }
 
     /// All that are known, in order.
@@ -123,19 +123,20 @@
     }
 
     /// There is something that peers hear of with the next datagram.
-    pub fn tell_soon(&mut self) {
+    pub fn report_soon(&mut self) {
         self.changed = true;
         self.urgent = true;
     }
 
     /// Changes that there are now are told.
-    pub fn told(&mut self, now: Duration) {
+    pub fn record_report(&mut self, now: Duration) {
         self.changed = false;
         self.urgent = false;
-        if let Some(since) = self.since.take() {
+        if let Some(since) = self.changed_since.take() {
             // The first of them waited for all of that time, the last for none of it.
             let delay = now.saturating_sub(since) / 2;
-            self.untold = self.untold.mul_f64(1.0 - DELAY_WEIGHT) + delay.mul_f64(DELAY_WEIGHT);
+            self.report_delay =
+                self.report_delay.mul_f64(1.0 - DELAY_WEIGHT) + delay.mul_f64(DELAY_WEIGHT);
         }
     }
 }
--- a/crates/basilbank_forward/src/state/quarantine.rs
+++ b/crates/basilbank_forward/src/state/quarantine.rs
@@ -2,32 +2,32 @@
 
 use std::{collections::BTreeMap, ops::Bound, time::Duration};
 
-use basilbank_wire::Quarantined;
+use basilbank_wire::QuarantinedCall;
 
 use crate::call::Digest;
 
 /// How long a call stays here after it came last. One that still comes is still deadly, as far as anybody
 /// knows; finding out would cost endpoints.
-const STAYS: Duration = Duration::from_secs(3600);
+const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
 
 /// Calls that are kept; beyond it the one that would leave first goes.
-const MOST: usize = 512;
+const MAX_CALLS: usize = 512;
 
 /// Datagrams that carry each new one, besides heartbeats.
-const TELLINGS: u8 = 3;
+const REPETITIONS: u8 = 3;
 
 /// All of them.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    calls: BTreeMap<Digest, Stay>,
+    calls: BTreeMap<Digest, Entry>,
     /// The one that was told last; heartbeats tell them in turn.
-    last: Digest,
+    last_reported: Digest,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stay {
+struct Entry {
     until: Duration,
-    told: u8,
+    report_count: u8,
 }
 
 impl Quarantine {
@@ -45,51 +45,51 @@
 
     /// For how much longer a call is here.
     #[must_use]
-    pub fn left(&self, digest: Digest, now: Duration) -> Option<Duration> {
-        let stay = self.calls.get(&digest).filter(|stay| now < stay.until)?;
-        Some(stay.until - now)
+    pub fn time_left(&self, digest: Digest, now: Duration) -> Option<Duration> {
+        let entry = self.calls.get(&digest).filter(|entry| now < entry.until)?;
+        Some(entry.until - now)
     }
 
     /// Takes a call in, or one in that came again.
     pub fn add(&mut self, digest: Digest, now: Duration) {
-        self.keep(digest, now + STAYS);
+        self.extend(digest, now + QUARANTINE_TIME);
     }
 
     /// Takes a peer's word in; true when it is news.
-    pub fn hear(&mut self, told: &Quarantined, now: Duration) -> bool {
-        let digest = Digest(told.digest);
-        let fresh = self.left(digest, now).is_none();
-        let left = Duration::from_secs(u64::from(told.left)).min(STAYS);
-        self.keep(digest, now + left);
-        fresh
+    pub fn apply_report(&mut self, report: &QuarantinedCall, now: Duration) -> bool {
+        let digest = Digest(report.digest);
+        let is_new = self.time_left(digest, now).is_none();
+        let left = Duration::from_secs(u64::from(report.left)).min(QUARANTINE_TIME);
+        self.extend(digest, now + left);
+        is_new
     }
 
-    fn keep(&mut self, digest: Digest, until: Duration) {
-        if self.calls.len() == MOST && !self.calls.contains_key(&digest) {
-            let first = self.calls.iter().min_by_key(|(_, stay)| stay.until);
+    fn extend(&mut self, digest: Digest, until: Duration) {
+        if self.calls.len() == MAX_CALLS && !self.calls.contains_key(&digest) {
+            let first = self.calls.iter().min_by_key(|(_, entry)| entry.until);
             let first = first.map(|(digest, _)| *digest);
             first.map(|digest| self.calls.remove(&digest));
         }
-        let stay = self.calls.entry(digest).or_insert(Stay { until, told: 0 });
-        stay.until = stay.until.max(until);
+        let entry = self.calls.entry(digest).or_insert(Entry { until, report_count: 0 });
+        entry.until = entry.until.max(until);
     }
 
     /// New ones for the next datagram, and some of the others in turn.
-    pub fn tell(&mut self, others: usize, now: Duration) -> Vec<Quarantined> {
-        self.calls.retain(|_, stay| now < stay.until);
-        let after = self.calls.range((Bound::Excluded(self.last), Bound::Unbounded));
-        let after = after.chain(self.calls.range(..=self.last));
+    pub fn take_reports(&mut self, others: usize, now: Duration) -> Vec<QuarantinedCall> {
+        self.calls.retain(|_, entry| now < entry.until);
+        let after = self.calls.range((Bound::Excluded(self.last_reported), Bound::Unbounded));
+        let after = after.chain(self.calls.range(..=self.last_reported));
         let others: Vec<_> = after.take(others).map(|(digest, _)| *digest).collect();
-        self.last = others.last().copied().unwrap_or(self.last);
-        let mut told = Vec::new();
-        for (digest, stay) in &mut self.calls {
-            let fresh = stay.told < TELLINGS;
-            stay.told += u8::from(fresh);
-            if fresh || others.contains(digest) {
-                let left = u32::try_from((stay.until - now).as_secs()).unwrap_or(u32::MAX);
-                told.push(Quarantined { digest: digest.0, left });
+        self.last_reported = others.last().copied().unwrap_or(self.last_reported);
+        let mut reports = Vec::new();
+        for (digest, entry) in &mut self.calls {
+            let is_new = entry.report_count < REPETITIONS;
+            entry.report_count += u8::from(is_new);
+            if is_new || others.contains(digest) {
+                let left = u32::try_from((entry.until - now).as_secs()).unwrap_or(u32::MAX);
+                reports.push(QuarantinedCall { digest: digest.0, left });
             }
         }
-        told
+        reports
     }
 }
--- a/crates/basilbank_forward/src/state/requests.rs
+++ b/crates/basilbank_forward/src/state/requests.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::{Place, Share};
+use super::{QueuePosition, Usage};
 use crate::{
     call::Call,
     endpoint::EndpointKey,
@@ -12,10 +12,10 @@
 };
 
 /// Times the target that callers wait for a stream's first event.
-const PATIENCE: u32 = 4;
+const FIRST_EVENT_TARGETS: u32 = 4;
 
 /// What they wait at least.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+const MIN_FIRST_EVENT_WAIT: Duration = Duration::from_secs(2);
 
 /// One call in progress.
 #[derive(Debug)]
@@ -37,14 +37,14 @@
     /// Its answer is given by then, whatever it is.
     pub deadline: Duration,
     /// Attempts in progress.
-    pub live: Vec<Live>,
+    pub active_attempts: Vec<ActiveAttempt>,
     /// Attempts so far: the next one's number.
-    pub attempts: u32,
+    pub attempt_count: u32,
     /// Calls so far that count against the route's attempts.
-    pub counted: u32,
+    pub counted_attempts: u32,
     /// Calls that were refused, and for which the retry budget has not been asked yet. The first call
     /// that isn't refused is free, and so is a prefill; each refused one means one call more.
-    pub unpaid: u32,
+    pub uncharged_refusals: u32,
     /// Endpoints that had it, in order.
     pub tried: Vec<EndpointKey>,
     /// An endpoint may have run it.
@@ -52,15 +52,15 @@
     /// Its answer has begun.
     pub answering: bool,
     /// The last failure.
-    pub failure: Option<Refusal>,
+    pub last_failure: Option<Refusal>,
     /// The draft's progress.
-    pub draft: Draft,
+    pub completion: Completion,
     /// It waits and goes on then.
     pub resume_at: Option<Duration>,
     /// It doesn't wait for a permit after this.
-    pub permit_by: Option<Duration>,
+    pub permit_deadline: Option<Duration>,
     /// When its caller can be served, if that is known.
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// Timers that were set for it.
     pub timers: Vec<Duration>,
 }
@@ -89,17 +89,17 @@
 
 /// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
-pub struct Live {
+pub struct ActiveAttempt {
     /// Its number.
     pub number: u32,
     /// Where it is.
     pub endpoint: EndpointKey,
     /// What was counted for it there.
-    pub share: Share,
+    pub usage: Usage,
     /// Tokens that were to be read at a prefill endpoint then, its own included.
-    pub ahead: u32,
+    pub queued_tokens: u32,
     /// When it began.
-    pub began: Duration,
+    pub started: Duration,
     /// What it does.
     pub step: Step,
 }
@@ -119,15 +119,15 @@
 
 /// A draft's progress.
 #[derive(Debug, Default)]
-pub struct Draft {
+pub struct Completion {
     /// The slot that is held for it.
     pub hold: Option<Hold>,
     /// The KV cache that waits for it.
-    pub kv: Option<Kv>,
+    pub kv: Option<KvCache>,
     /// Prefill endpoints that have read the prompt, or may have.
     pub prefills: u32,
     /// Calls for a slot since the last pause.
-    pub asked: u32,
+    pub hold_attempts: u32,
     /// It has waited for room.
     pub waited: bool,
 }
@@ -140,12 +140,12 @@
     /// The hold's name there.
     pub name: String,
     /// What is counted for it there; `None` once the call that takes it counts instead.
-    pub share: Option<Share>,
+    pub usage: Option<Usage>,
 }
 
 /// A KV cache at a prefill endpoint.
 #[derive(Clone, Debug)]
-pub struct Kv {
+pub struct KvCache {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Its name there.
@@ -157,13 +157,13 @@
 impl Request {
     /// What it takes of its team's quota, if there is one.
     #[must_use]
-    pub fn amount(&self, unit: QuotaUnit) -> u32 {
+    pub fn quota_amount(&self, unit: QuotaUnit) -> u32 {
         match (unit, &self.call.prompt) {
             (QuotaUnit::Requests, _) => 1,
             (QuotaUnit::Tokens { .. }, Some(prompt)) => {
                 prompt.tokens.saturating_add(prompt.max_output)
             }
-            (QuotaUnit::Tokens { plain }, None) => plain,
+            (QuotaUnit::Tokens { unspecified }, None) => unspecified,
         }
     }
 
@@ -176,37 +176,37 @@
     /// An endpoint may have run it: one that has it now counts, for it may have begun.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
-        let runs = |live: &Live| matches!(live.step, Step::Whole | Step::Decode);
-        self.maybe_run || self.live.iter().any(runs)
+        let runs = |attempt: &ActiveAttempt| matches!(attempt.step, Step::Whole | Step::Decode);
+        self.maybe_run || self.active_attempts.iter().any(runs)
     }
 
     /// The next call is beyond the first: one was refused before, or may have run.
     #[must_use]
-    pub fn repeats(&self) -> bool {
-        self.unpaid != 0 || self.counted != 0
+    pub fn is_repeat(&self) -> bool {
+        self.uncharged_refusals != 0 || self.counted_attempts != 0
     }
 
     /// When the caller of a stream leaves if nothing has come. A stream that has begun may go on until
     /// its deadline.
     #[must_use]
-    pub fn patience(&self) -> Duration {
+    pub fn caller_deadline(&self) -> Duration {
         if self.answering {
             return self.deadline;
         }
-        let patience = self.route.target.saturating_mul(PATIENCE).max(LEAST_PATIENCE);
-        self.deadline.min(self.arrived + patience)
+        let wait = self.route.target.saturating_mul(FIRST_EVENT_TARGETS).max(MIN_FIRST_EVENT_WAIT);
+        self.deadline.min(self.arrived + wait)
     }
 
     /// Its answer is on time if it begins at `first`.
     #[must_use]
-    pub fn is_timely(&self, first: Duration) -> bool {
+    pub fn is_on_time(&self, first: Duration) -> bool {
         first <= self.due()
     }
 
     /// Its place among the drafts that wait, if its first token can't come before `soonest`.
     #[must_use]
-    pub fn place(&self, soonest: Duration) -> Place {
-        Place::new(self.due(), soonest)
+    pub fn queue_position(&self, soonest: Duration) -> QueuePosition {
+        QueuePosition::new(self.due(), soonest)
     }
 
     /// When its answer should begin to be on time.
--- a/crates/basilbank_forward/src/state/budget.rs
+++ b/crates/basilbank_forward/src/state/retry_budget.rs
@@ -5,11 +5,11 @@
 use crate::tuning::Tuning;
 
 /// Width of a bucket. Bounds slide, so the sums always cover one bucket more than the window.
-const BUCKET: Duration = Duration::from_millis(500);
+const BUCKET_WIDTH: Duration = Duration::from_millis(500);
 
 /// Shares of the slack per daemon that is known: a daemon that restarts within a window begins with
 /// a share anew, and all of them may.
-const SHARES: f64 = 2.0;
+const SHARES_PER_DAEMON: f64 = 2.0;
 
 /// Counts of calls and of extra calls in the last window.
 ///
@@ -18,7 +18,7 @@
 /// and an equal share of the slack. The parts then add up below the bound whatever happens to the
 /// talk between daemons, and a daemon that has just started begins with the share alone.
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     buckets: VecDeque<Bucket>,
 }
 
@@ -29,16 +29,16 @@
     extras: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A caller's call for the service came in.
-    pub fn called(&mut self, now: Duration, tuning: &Tuning) {
+    pub fn record_call(&mut self, now: Duration, tuning: &Tuning) {
         self.bucket(now, tuning).calls += 1;
     }
 
     /// Takes one extra call if there is room for it.
     #[must_use]
-    pub fn take(&mut self, now: Duration, tuning: &Tuning, daemons: usize) -> bool {
-        if self.left(now, tuning, daemons) < 1.0 {
+    pub fn try_take(&mut self, now: Duration, tuning: &Tuning, daemons: usize) -> bool {
+        if self.available(now, tuning, daemons) < 1.0 {
             return false;
         }
         self.bucket(now, tuning).extras += 1;
@@ -47,19 +47,19 @@
 
     /// Extra calls that could be made now. `daemons` is the most that were known at once.
     #[must_use]
-    pub fn left(&mut self, now: Duration, tuning: &Tuning, daemons: usize) -> f64 {
+    pub fn available(&mut self, now: Duration, tuning: &Tuning, daemons: usize) -> f64 {
         self.bucket(now, tuning);
         let calls: u32 = self.buckets.iter().map(|b| b.calls).sum();
         let extras: u32 = self.buckets.iter().map(|b| b.extras).sum();
-        let earned = f64::from(calls) * tuning.retry_ratio * tuning.ratio_used;
-        let sharers = tuning.assumed_daemons.max(daemons as f64 * SHARES);
-        earned + tuning.retry_slack / sharers - f64::from(extras)
+        let earned = f64::from(calls) * tuning.retry_ratio * tuning.retry_ratio_fraction;
+        let shares = tuning.min_slack_shares.max(daemons as f64 * SHARES_PER_DAEMON);
+        earned + tuning.retry_slack / shares - f64::from(extras)
     }
 
     fn bucket(&mut self, now: Duration, tuning: &Tuning) -> &mut Bucket {
-        let width = BUCKET.as_millis();
+        let width = BUCKET_WIDTH.as_millis();
         let index = u64::try_from(now.as_millis() / width).unwrap_or(u64::MAX);
-        let start = BUCKET.saturating_mul(u32::try_from(index).unwrap_or(u32::MAX));
+        let start = BUCKET_WIDTH.saturating_mul(u32::try_from(index).unwrap_or(u32::MAX));
         let oldest = start.saturating_sub(tuning.retry_window);
         while self.buckets.front().is_some_and(|b| b.start < oldest) {
             self.buckets.pop_front();
--- a/crates/basilbank_forward/src/state/roles.rs
+++ b/crates/basilbank_forward/src/state/roles.rs
@@ -28,17 +28,17 @@
     /// The right to order.
     pub right: OrderRight,
     /// When the right was gained.
-    pub since: Duration,
+    pub right_since: Duration,
     /// The time of day less the steady clock, in milliseconds, when it was last looked at.
-    pub offset: Option<i128>,
+    pub clock_offset_ms: Option<i128>,
     /// Orders so far.
-    pub orders: u64,
+    pub order_count: u64,
     /// The last fencing number.
-    pub fence: u64,
+    pub last_fence: u64,
     /// When the last order was sent.
-    pub last: Duration,
+    pub last_order: Duration,
     /// Endpoints whose order was sent, and when.
     pub ordered: HashMap<EndpointKey, Duration>,
     /// When the list of endpoints last grew.
-    pub grew: Duration,
+    pub list_grew: Duration,
 }
--- a/crates/basilbank_forward/src/team.rs
+++ b/crates/basilbank_forward/src/team.rs
@@ -84,7 +84,7 @@
     /// Tokens to be read and at most generated.
     Tokens {
         /// Those of a request that doesn't say them.
-        plain: u32,
+        unspecified: u32,
     },
 }
 
--- a/crates/basilbank_forward/src/topic.rs
+++ b/crates/basilbank_forward/src/topic.rs
@@ -93,7 +93,7 @@
 
     /// Follows the store. Within an era what is known doesn't go back with an answer that was late; a
     /// reading of another era is of another history.
-    pub fn follow(&mut self, read: Revision) {
+    pub fn advance(&mut self, read: Revision) {
         *self = if read.era == self.era { read.max(*self) } else { read };
     }
 }
@@ -121,7 +121,7 @@
     /// The revision of the last change of the topic that was read; 0 for none. It is what peers are
     /// told: a watch on the topic has it at once, while the store's own revision may belong to another
     /// topic, for which such a watch would wait in vain.
-    pub newest: Revision,
+    pub latest_change: Revision,
 }
 
 impl Revisions {
@@ -129,13 +129,17 @@
     #[must_use]
     pub fn at(revision: impl Into<Revision>) -> Revisions {
         let revision = revision.into();
-        Revisions { store: revision, newest: revision }
+        Revisions { store: revision, latest_change: revision }
     }
 
     /// Read in this era. That nothing new was read stays so.
     #[must_use]
     pub fn with_era(self, era: u64) -> Revisions {
-        let newest = if self.newest.is_none() { self.newest } else { self.newest.with_era(era) };
-        Revisions { store: self.store.with_era(era), newest }
+        let latest_change = if self.latest_change.is_none() {
+            self.latest_change
+        } else {
+            self.latest_change.with_era(era)
+        };
+        Revisions { store: self.store.with_era(era), latest_change }
     }
 }
--- a/crates/basilbank_forward/tests/forward/addresses.rs
+++ b/crates/basilbank_forward/tests/forward/addresses.rs
@@ -9,12 +9,12 @@
 const STRANGE: &str = "strange";
 
 fn born(at: u64, info: EndpointInfo) -> EndpointInfo {
-    EndpointInfo { born: Some(at), ..info }
+    EndpointInfo { start_time: Some(at), ..info }
 }
 
 /// An entry of a service that no configuration names, at the address of endpoint "a".
 fn stranger(at: Option<u64>) -> EndpointInfo {
-    EndpointInfo { born: at, service: STRANGE.to_owned(), ..plain("x", 1) }
+    EndpointInfo { start_time: at, service: STRANGE.to_owned(), ..plain("x", 1) }
 }
 
 /// A configuration that names it, too.
@@ -44,7 +44,7 @@
 #[test_case(Some(5), Some(6); "a later start")]
 fn a_stranger_takes_no_address(first: Option<u64>, next: Option<u64>) {
     let mut rig = Rig::new();
-    let good = EndpointInfo { born: first, ..plain("a", 1) };
+    let good = EndpointInfo { start_time: first, ..plain("a", 1) };
     rig.list(vec![good.clone()]);
     rig.list(vec![stranger(next)]);
     assert!(in_use(&mut rig));
@@ -70,7 +70,7 @@
 ) {
     let mut rig = Rig::new();
     rig.state = State::new(Local::default().with_data_centre("hall-a"), Tuning::default());
-    let mut list = vec![EndpointInfo { born: first, ..plain("a", 1) }, stranger(next)];
+    let mut list = vec![EndpointInfo { start_time: first, ..plain("a", 1) }, stranger(next)];
     if turned {
         list.reverse();
     }
--- a/crates/basilbank_forward/tests/forward/budgets.rs
+++ b/crates/basilbank_forward/tests/forward/budgets.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use basilbank_forward::{prelude::*, state::Budget};
+use basilbank_forward::{prelude::*, state::RetryBudget};
 use proptest::prelude::*;
 
 use crate::rig::Rig;
@@ -16,10 +16,10 @@
     let (daemons, calls) = (12, 50);
     let mut taken = 0;
     for _ in 0..daemons {
-        let mut budget = Budget::default();
+        let mut budget = RetryBudget::default();
         let now = Duration::from_secs(50);
-        (0..calls).for_each(|_| budget.called(now, &tuning));
-        while budget.take(now, &tuning, 1) {
+        (0..calls).for_each(|_| budget.record_call(now, &tuning));
+        while budget.try_take(now, &tuning, 1) {
             taken += 1;
         }
     }
@@ -34,15 +34,15 @@
     #[test]
     fn every_window_stays_below_the_bound(steps in prop::collection::vec((0u64..400, 0u32..3), 1..300)) {
         let tuning = Tuning::default();
-        let mut budget = Budget::default();
+        let mut budget = RetryBudget::default();
         let mut now = Duration::from_secs(100);
         let (mut calls, mut extras) = (Vec::new(), Vec::new());
         for (pause, wanted) in steps {
             now += Duration::from_millis(pause);
-            budget.called(now, &tuning);
+            budget.record_call(now, &tuning);
             calls.push(now);
             for _ in 0..wanted {
-                if budget.take(now, &tuning, 1) {
+                if budget.try_take(now, &tuning, 1) {
                     extras.push(now);
                 }
             }
@@ -50,7 +50,7 @@
             let wide = from.saturating_sub(tuning.retry_window);
             let recent = extras.iter().filter(|at| from < **at).count() as f64;
             let earned = calls.iter().filter(|at| wide < **at).count() as f64 * tuning.retry_ratio;
-            prop_assert!(recent <= earned + tuning.retry_slack / tuning.assumed_daemons);
+            prop_assert!(recent <= earned + tuning.retry_slack / tuning.min_slack_shares);
         }
     }
 }
@@ -63,8 +63,8 @@
     let mut rig = Rig::new();
     let tuning = rig.state.tuning.clone();
     let shares =
-        |rig: &Rig| 71.0 * tuning.retry_slack / (2.0 * rig.state.sharers(rig.now()) as f64);
+        |rig: &Rig| 71.0 * tuning.retry_slack / (2.0 * rig.state.slack_sharers(rig.now()) as f64);
     assert!(shares(&rig) < tuning.retry_slack / 4.0);
     rig.pass(tuning.retry_window);
-    assert_eq!(rig.state.sharers(rig.now()), 1);
+    assert_eq!(rig.state.slack_sharers(rig.now()), 1);
 }
--- a/crates/basilbank_forward/tests/forward/call_limits.rs
+++ b/crates/basilbank_forward/tests/forward/call_limits.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::{LoadBeat, Permit, PermitWord};
+use basilbank_wire::{LoadGossip, Permit, PermitKind};
 use test_case::test_case;
 
 use crate::{
@@ -107,10 +107,10 @@
     let endpoint = rig.state.directory.find("e1").expect("listed");
     let hash = rig.state.directory.hash(endpoint).expect("listed");
     rig.feed(Event::CallLimit { endpoint, rate: Some(4.0) });
-    let ask = Permit { endpoint: hash, word: PermitWord::Ask.into(), wait: u32::MAX };
+    let ask = Permit { endpoint: hash, word: PermitKind::Ask.into(), wait: u32::MAX };
     for n in 1..1000_u16 {
         let from = SocketAddr::from(([10, 9, 0, 1], n));
-        rig.feed(Event::gossip(from, LoadBeat { permits: vec![ask], ..LoadBeat::default() }));
+        rig.feed(Event::gossip(from, LoadGossip { permits: vec![ask], ..LoadGossip::default() }));
     }
     rig.pass_ms(3000);
     let permits: usize = rig.beats().iter().map(|(_, beat)| beat.permits.len()).sum();
--- a/crates/basilbank_forward/tests/forward/drafts.rs
+++ b/crates/basilbank_forward/tests/forward/drafts.rs
@@ -300,11 +300,12 @@
     let own = std::net::SocketAddr::from(([10, 0, 1, 1], 7000));
     let from = std::net::SocketAddr::from(([10, 0, 1, 2], 7000));
     let mut rig = Rig::as_daemon(own, vec![from]);
-    rig.state.local.start = Start::Again;
+    rig.state.local.start = SystemStart::Restart;
     rig.state.local.incarnation = 100_000;
     rig.list(vec![model("p1", 1, Stage::Prefill), model("d1", 3, Stage::Decode)]);
     assert_eq!(read_at_decode(&mut rig), 100);
-    let beat = basilbank_wire::LoadBeat { incarnation: 50_000, sequence: 1, ..Default::default() };
+    let beat =
+        basilbank_wire::LoadGossip { incarnation: 50_000, sequence: 1, ..Default::default() };
     rig.feed(Event::gossip(from, beat));
     assert_eq!(read_at_decode(&mut rig), 0);
 }
--- a/crates/basilbank_forward/tests/forward/fleet/mod.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/mod.rs
@@ -14,7 +14,7 @@
 
 use basilbank_core::state::Rng;
 use basilbank_forward::prelude::*;
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 /// A datagram's way to a peer, and an event's to a daemon.
 pub const WAY: Duration = Duration::from_millis(1);
@@ -34,7 +34,7 @@
 }
 
 enum Due {
-    Heard { from: usize, to: usize, beat: Arc<LoadBeat> },
+    Heard { from: usize, to: usize, beat: Arc<LoadGossip> },
     Fed { daemon: usize, life: u32, event: Box<Event> },
     Wake { daemon: usize, at: Duration },
     Start { daemon: usize },
@@ -90,7 +90,7 @@
             rng: Rng::new(seed),
         };
         for n in 0..count {
-            let state = fleet.fresh(n, Start::First);
+            let state = fleet.fresh(n, SystemStart::First);
             let wakes = Duration::MAX;
             fleet.daemons.push(Daemon { state, life: 0, runs: true, cut: false, wakes, heard: 0 });
         }
@@ -194,7 +194,7 @@
                     }
                 }
                 Due::Start { daemon } => {
-                    self.daemons[daemon].state = self.fresh(daemon, Start::Again);
+                    self.daemons[daemon].state = self.fresh(daemon, SystemStart::Restart);
                     self.daemons[daemon].runs = true;
                     self.daemons[daemon].heard = 0;
                     self.boot(daemon);
@@ -204,7 +204,7 @@
         }
     }
 
-    fn fresh(&mut self, n: usize, start: Start) -> State {
+    fn fresh(&mut self, n: usize, start: SystemStart) -> State {
         let incarnation = EPOCH + u64::try_from(self.now.as_millis()).unwrap_or(0);
         let mut local = Local::default()
             .with_name(&format!("vm-{n}"))
@@ -214,7 +214,7 @@
             .with_address(address(n))
             .with_seeds((0..3).map(address).collect());
         local.seed = u64::from((self.rng.unit() * f64::from(u32::MAX)) as u32);
-        State::new(local, Tuning { key_trust: self.trust, ..Tuning::default() })
+        State::new(local, Tuning { max_confirmation_age: self.trust, ..Tuning::default() })
     }
 
     /// It reads configuration and list.
@@ -228,7 +228,7 @@
         self.feed(daemon, Event::EndpointsRead { revisions: read, list });
     }
 
-    fn hear(&mut self, from: usize, to: usize, beat: &LoadBeat) {
+    fn hear(&mut self, from: usize, to: usize, beat: &LoadGossip) {
         let apart = self.half.is_some_and(|half| (from < half) != (to < half));
         let lost = apart || self.rng.unit() < self.loss;
         if lost || !self.is_sound(from) || !self.is_sound(to) {
@@ -264,7 +264,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: &[SocketAddr], beat: LoadBeat) {
+    fn send(&mut self, from: usize, to: &[SocketAddr], beat: LoadGossip) {
         self.words += beat.ages.len();
         let beat = Arc::new(beat);
         for to in to.iter().filter_map(number) {
--- a/crates/basilbank_forward/tests/forward/fleet/proofs.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/proofs.rs
@@ -104,8 +104,8 @@
     fn ask(&mut self, daemon: usize) {
         self.fleet.mark(ASKS, ASK + daemon as u64);
         let state = &self.fleet.daemons[daemon].state;
-        let rests = state.rests().follows && !state.behind(Topic::Routes);
-        if !self.sees[daemon] || rests && !state.proof_is_old(self.fleet.now()) {
+        let rests = state.follow_state().follows && !state.is_stale(Topic::Routes);
+        if !self.sees[daemon] || rests && !state.is_confirmation_old(self.fleet.now()) {
             return;
         }
         let asked = self.fleet.now();
@@ -121,7 +121,7 @@
         self.fleet.mark(Duration::from_millis(50), LOOK);
         let now = self.fleet.now();
         for daemon in self.fleet.daemons.iter().filter(|daemon| daemon.runs) {
-            let trusted = daemon.state.trusts_keys(now);
+            let trusted = daemon.state.can_trust_keys(now);
             let next = usize::try_from(daemon.state.routes.version).unwrap_or_default();
             let replaced = self.versions.get(next).copied();
             self.got.all += 1;
@@ -135,7 +135,7 @@
     fn trust_keys(&mut self, trust: Duration) {
         self.trust = Some(trust);
         for daemon in &mut self.daemons {
-            daemon.state.tuning.key_trust = self.trust;
+            daemon.state.tuning.max_confirmation_age = self.trust;
         }
     }
 }
--- a/crates/basilbank_forward/tests/forward/fleet/quotas.rs
+++ b/crates/basilbank_forward/tests/forward/fleet/quotas.rs
@@ -112,7 +112,7 @@
 }
 
 fn quota(rate: f64) -> Quota {
-    Quota { rate, burst: rate, unit: QuotaUnit::Tokens { plain: 200 } }
+    Quota { rate, burst: rate, unit: QuotaUnit::Tokens { unspecified: 200 } }
 }
 
 fn keyed(version: u64, rate: f64) -> RouteTable {
--- a/crates/basilbank_forward/tests/forward/introductions.rs
+++ b/crates/basilbank_forward/tests/forward/introductions.rs
@@ -96,7 +96,7 @@
     }
     let used = |rig: &Rig| {
         let key = rig.state.directory.find("d1").expect("listed");
-        rig.state.directory.get(key).map_or(0, |endpoint| endpoint.all_tokens())
+        rig.state.directory.get(key).map_or(0, |endpoint| endpoint.total_tokens())
     };
     let all = used(&fleet.rigs[0]);
     let mut rig = Rig::as_next_daemon(address(9), (0..3).map(address).collect());
--- a/crates/basilbank_forward/tests/forward/keys.rs
+++ b/crates/basilbank_forward/tests/forward/keys.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::{ConfigurationAge, LoadBeat};
+use basilbank_wire::{ConfigurationAge, LoadGossip};
 use test_case::test_case;
 
 use crate::{
@@ -18,7 +18,7 @@
 fn keyed(version: u64, keys: &[KeyHash]) -> RouteTable {
     let teams = Teams::default().with_team(Team::new("team-1"), keys.iter().copied());
     let mut routes = table(version).routes().to_vec();
-    let mut open = route("/open/", Kind::Idempotent, "desk", 2);
+    let mut open = route("/open/", RouteKind::Idempotent, "desk", 2);
     open.public = true;
     routes.push(open);
     table(version).with_routes(routes).with_teams(teams)
@@ -27,7 +27,7 @@
 /// A daemon that knows one key, and must not trust it for longer than a bound.
 fn rig() -> Rig {
     let mut rig = Rig::new();
-    rig.state.tuning.key_trust = Some(TRUST);
+    rig.state.tuning.max_confirmation_age = Some(TRUST);
     rig.configure(keyed(2, &[KEY]));
     rig.list(vec![plain("a", 1)]);
     confirm(&mut rig);
@@ -93,17 +93,17 @@
     let mut rig = rig();
     rig.pass(TRUST - Duration::from_millis(1));
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), [], "not a moment early");
-    assert!(rig.state.ready());
+    assert!(rig.state.is_ready());
     rig.pass_ms(1);
     let all = [Credential::Key(KEY), Credential::Key(OTHER), Credential::None];
     for credential in all {
         let refusals = refused(&mut rig, "/sheet/1", credential);
         assert_eq!(refusals, [Refusal::KeysUnconfirmed], "nobody is turned away for good");
     }
-    assert!(!rig.state.ready(), "the balancer sends callers elsewhere");
+    assert!(!rig.state.is_ready(), "the balancer sends callers elsewhere");
     confirm(&mut rig);
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), []);
-    assert!(rig.state.ready());
+    assert!(rig.state.is_ready());
 }
 
 /// The answer of a slow store is as old as its question.
@@ -121,7 +121,7 @@
 fn a_daemon_that_knows_of_a_newer_configuration_turns_no_key_away_for_good() {
     let mut rig = rig();
     let from = SocketAddr::from(([10, 0, 1, 2], 7000));
-    let beat = LoadBeat { incarnation: 1, sequence: 1, version: 3, ..LoadBeat::default() };
+    let beat = LoadGossip { incarnation: 1, sequence: 1, version: 3, ..LoadGossip::default() };
     rig.feed(Event::gossip(from, beat));
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(OTHER)), [Refusal::Outdated]);
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), []);
@@ -130,7 +130,7 @@
 #[test]
 fn without_a_bound_keys_are_trusted_for_ever() {
     let mut rig = rig();
-    rig.state.tuning.key_trust = None;
+    rig.state.tuning.max_confirmation_age = None;
     rig.pass(TRUST * 10);
     assert_eq!(refused(&mut rig, "/sheet/1", Credential::Key(KEY)), []);
 }
@@ -148,14 +148,14 @@
     let mut rig = rig();
     for n in 2..=60 {
         let watching = n <= 7;
-        rig.feed(Event::gossip(peer(n), LoadBeat { watching, ..beat(1) }));
+        rig.feed(Event::gossip(peer(n), LoadGossip { watching, ..beat(1) }));
     }
     rig.effects.clear();
     rig
 }
 
-fn beat(sequence: u64) -> LoadBeat {
-    LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() }
+fn beat(sequence: u64) -> LoadGossip {
+    LoadGossip { incarnation: 1, sequence, ..LoadGossip::default() }
 }
 
 fn peer(n: u8) -> SocketAddr {
@@ -167,7 +167,7 @@
     for _ in 0..ms / 100 {
         *sequence += 1;
         for n in 2..=60 {
-            rig.feed(Event::gossip(peer(n), LoadBeat { watching: n <= 7, ..beat(*sequence) }));
+            rig.feed(Event::gossip(peer(n), LoadGossip { watching: n <= 7, ..beat(*sequence) }));
         }
         rig.pass_ms(100);
     }
@@ -194,7 +194,7 @@
     let word = ConfigurationAge { age: Some(300), version: 2, ..question };
     rig.feed(Event::gossip(
         to,
-        LoadBeat { incarnation: 1, ages: vec![word], ..LoadBeat::default() },
+        LoadGossip { incarnation: 1, ages: vec![word], ..LoadGossip::default() },
     ));
     let age = rig.state.freshness.age(rig.now()).expect("a proof");
     assert!(age < Duration::from_millis(500), "{age:?}");
@@ -208,12 +208,12 @@
     let asked = questions(&mut rig);
     let (to, question) = asked[0];
     let word = if echo { ConfigurationAge { asked: question.asked, ..word } } else { word };
-    let before = rig.state.freshness.proved;
+    let before = rig.state.freshness.confirmed_at;
     rig.feed(Event::gossip(
         to,
-        LoadBeat { incarnation: 1, ages: vec![word], ..LoadBeat::default() },
+        LoadGossip { incarnation: 1, ages: vec![word], ..LoadGossip::default() },
     ));
-    assert_eq!(rig.state.freshness.proved, before);
+    assert_eq!(rig.state.freshness.confirmed_at, before);
 }
 
 #[test]
@@ -223,7 +223,7 @@
     rig.pass_ms(700);
     rig.effects.clear();
     let question = ConfigurationAge { asked: 5, age: None, version: 0 };
-    let words = LoadBeat { incarnation: 1, ages: vec![question], ..LoadBeat::default() };
+    let words = LoadGossip { incarnation: 1, ages: vec![question], ..LoadGossip::default() };
     rig.feed(Event::gossip(peer(2), words.clone()));
     let answers = questions(&mut rig);
     assert_eq!(answers.len(), 1);
--- a/crates/basilbank_forward/tests/forward/line.rs
+++ b/crates/basilbank_forward/tests/forward/line.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::{LoadBeat, WaitingDraft};
+use basilbank_wire::{LoadGossip, WaitingCompletion};
 
 use crate::{
     load::{Engines, Got, Phase, Placing, Play},
@@ -17,8 +17,8 @@
     let stage = |n| if n == 0 { Stage::Prefill } else { Stage::Decode };
     rig.list((0..=1).map(|n| model(&format!("m{n}"), n + 1, stage(n))).collect());
     let service = basilbank_forward::state::service_hash(WRITER);
-    let waiting = vec![WaitingDraft { service, due }];
-    let beat = LoadBeat { incarnation: 2, sequence: 1, waiting, ..LoadBeat::default() };
+    let waiting = vec![WaitingCompletion { service, due }];
+    let beat = LoadGossip { incarnation: 2, sequence: 1, waiting, ..LoadGossip::default() };
     rig.feed(Event::gossip(([10, 0, 0, 2], 7000).into(), beat));
     rig.effects.clear();
     rig
@@ -84,7 +84,7 @@
             ..all
         })
     };
-    let alone = Tuning { line_step: Duration::ZERO, ..Tuning::default() };
+    let alone = Tuning { queue_step: Duration::ZERO, ..Tuning::default() };
     let (before, now) = (play(alone), play(Tuning::default()));
     assert!(now.crowded * 2 < before.crowded, "{before:?} before, {now:?} now");
 }
--- a/crates/basilbank_forward/tests/forward/load/mod.rs
+++ b/crates/basilbank_forward/tests/forward/load/mod.rs
@@ -12,7 +12,7 @@
 
 use basilbank_core::state::Rng;
 use basilbank_forward::{event::Liveness, prelude::*};
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 pub use self::site::{Engines, Got, Phase, Placing};
 use self::{
@@ -72,7 +72,7 @@
     endpoints: Vec<Engine>,
     drafts: HashMap<u64, Draft>,
     arrivals: VecDeque<Duration>,
-    beats: Vec<LoadBeat>,
+    beats: Vec<LoadGossip>,
     rng: Rng,
     got: Got,
     turn: usize,
@@ -88,7 +88,7 @@
         };
         let state = |n: u16| {
             let local = Local::default().with_name(&format!("vm-{n}")).with_data_centre("hall-a");
-            let local = local.with_start(Start::Again);
+            let local = local.with_start(SystemStart::Restart);
             let local = match engines.hearing {
                 true => local
                     .with_incarnation(1)
--- a/crates/basilbank_forward/tests/forward/load/site.rs
+++ b/crates/basilbank_forward/tests/forward/load/site.rs
@@ -120,7 +120,7 @@
 pub fn endpoint(n: u16, stage: Stage, slots: u32) -> EndpointInfo {
     EndpointInfo {
         instance: name(usize::from(n)),
-        born: None,
+        start_time: None,
         service: WRITER.to_owned(),
         addr: SocketAddr::from(([10, 0, 0, 1], 1000 + n)),
         data_centre: "hall-a".to_owned(),
@@ -132,16 +132,21 @@
 
 /// The route to the endpoints.
 pub fn table(memory: u32) -> RouteTable {
-    let engine = EngineInfo { memory, kept: KEPT, switch: Duration::from_secs(6), hold: PATIENCE };
+    let engine = EngineInfo {
+        memory_tokens: memory,
+        kv_ttl: KEPT,
+        stage_change: Duration::from_secs(6),
+        max_hold: PATIENCE,
+    };
     let route = Route {
         name: "draft".to_owned(),
         host: "shop.example".to_owned(),
         prefix: "/draft/".to_owned(),
-        kind: Kind::Streaming,
+        kind: RouteKind::Streaming,
         timeout: PATIENCE,
         target: TARGET,
         split: vec![(WRITER.to_owned(), 1)],
-        attempts: 2,
+        max_attempts: 2,
         resumable: true,
         public: false,
     };
--- a/crates/basilbank_forward/tests/forward/old_views.rs
+++ b/crates/basilbank_forward/tests/forward/old_views.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 use test_case::test_case;
 
 use crate::rig::{Rig, held, model, prompt};
@@ -26,7 +26,7 @@
         endpoint.peer_tokens = 3000;
         endpoint.peer_calls = 1;
     }
-    rig.state.peers.untold = untold;
+    rig.state.peers.report_delay = untold;
     let mut placed = HashMap::new();
     for _ in 0..DRAFTS {
         let id = rig.call("/draft/1", 14_000, Some(prompt(3000)));
@@ -79,7 +79,7 @@
     let mut hear_all = |rig: &mut Rig| {
         sequence += 1;
         for n in 1..FLEET {
-            let beat = LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() };
+            let beat = LoadGossip { incarnation: 1, sequence, ..LoadGossip::default() };
             rig.feed(Event::gossip(address(n), beat));
         }
     };
@@ -121,7 +121,7 @@
     let mut rig = Rig::as_daemon(address(0), vec![]);
     rig.list(vec![model("p1", 1, Stage::Prefill), model("d1", 2, Stage::Decode)]);
     for n in 1..=peers {
-        let beat = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
+        let beat = LoadGossip { incarnation: 1, sequence: 1, ..LoadGossip::default() };
         rig.feed(Event::gossip(address(n), beat));
     }
     rig.call("/draft/1", 14_000, Some(prompt(3000)));
@@ -157,7 +157,7 @@
     let mut hear = |rig: &mut Rig, peers: u16| {
         sequence += 1;
         for n in 1..=peers {
-            let beat = LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() };
+            let beat = LoadGossip { incarnation: 1, sequence, ..LoadGossip::default() };
             rig.feed(Event::gossip(address(n), beat));
         }
     };
@@ -171,10 +171,10 @@
     hear(&mut rig, 100);
     rig.pass_ms(1500);
     rig.beats();
-    let sent = rig.state.peers.sent;
+    let sent = rig.state.peers.last_sent;
     rig.call("/draft/1", 14_000, Some(prompt(500)));
     rig.pass_ms(30);
-    assert!(sent < rig.state.peers.sent);
+    assert!(sent < rig.state.peers.last_sent);
     assert!(!rig.beats().is_empty());
 }
 
@@ -196,7 +196,7 @@
         let from = SocketAddr::from(([10, 0, 2, n], 7000));
         rig.feed(Event::gossip(
             from,
-            LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() },
+            LoadGossip { incarnation: 1, sequence: 1, ..LoadGossip::default() },
         ));
     }
     rig.effects.clear();
--- a/crates/basilbank_forward/tests/forward/order_schedules.rs
+++ b/crates/basilbank_forward/tests/forward/order_schedules.rs
@@ -113,7 +113,7 @@
             Happening::StartAgain(nth) => {
                 let nth = nth % self.endpoints.len();
                 let endpoint = &mut self.endpoints[nth];
-                endpoint.born = Some(endpoint.born.map_or(1, |born| born + 1));
+                endpoint.start_time = Some(endpoint.start_time.map_or(1, |born| born + 1));
             }
         }
     }
--- a/crates/basilbank_forward/tests/forward/overload.rs
+++ b/crates/basilbank_forward/tests/forward/overload.rs
@@ -36,7 +36,11 @@
 #[test_case(SMALL, 24.0)]
 #[test_case(TIGHT, 26.0)]
 fn drafts_that_are_late_anyway_leave_room_for_others(engines: Engines, rate: f64) {
-    let all_alike = Tuning { memory_late: 1.0, lead: Duration::ZERO, ..Tuning::default() };
+    let all_alike = Tuning {
+        late_memory_fraction: 1.0,
+        first_token_delay: Duration::ZERO,
+        ..Tuning::default()
+    };
     let before = overload(engines, rate, &router(all_alike));
     let now = overload(engines, rate, &router(Tuning::default()));
     assert!(before + 0.05 < now, "{before:.3} before, {now:.3} now");
@@ -70,7 +74,7 @@
         let got = (0..SEEDS).map(|seed| Play::run(engines, &phases, router(tuning.clone()), seed));
         got.map(|got| got.timely_part()).sum::<f64>() / SEEDS as f64
     };
-    let before = timely(Tuning { blind: Duration::ZERO, ..Tuning::default() });
+    let before = timely(Tuning { cold_start: Duration::ZERO, ..Tuning::default() });
     let now = timely(Tuning::default());
     assert!(before + 0.1 < now, "{before:.3} before, {now:.3} now");
 }
--- a/crates/basilbank_forward/tests/forward/peers.rs
+++ b/crates/basilbank_forward/tests/forward/peers.rs
@@ -7,7 +7,7 @@
 };
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 use crate::rig::{Rig, held, model, numbered, prompt};
 
@@ -114,10 +114,10 @@
 fn a_leaving_daemon_with_nothing_left_is_no_peer() {
     let mut rig = numbered(1);
     let from = ([10, 0, 0, 2], 7000).into();
-    let beat = LoadBeat { incarnation: 2, sequence: 1, ..LoadBeat::default() };
+    let beat = LoadGossip { incarnation: 2, sequence: 1, ..LoadGossip::default() };
     rig.feed(Event::gossip(from, beat.clone()));
     assert_eq!(rig.state.peers.known.len(), 1);
-    rig.feed(Event::gossip(from, LoadBeat { sequence: 2, leaving: true, ..beat }));
+    rig.feed(Event::gossip(from, LoadGossip { sequence: 2, leaving: true, ..beat }));
     assert!(rig.state.peers.known.is_empty());
 }
 
@@ -155,7 +155,7 @@
         fleet.rig(1).feed(Event::gossip(from, beat));
     }
     let peer = fleet.rig(1).state.peers.known[&from].clone();
-    assert_eq!(peer.loads.iter().map(|load| load.share.tokens).sum::<u32>(), 3060);
+    assert_eq!(peer.loads.iter().map(|load| load.usage.tokens).sum::<u32>(), 3060);
 }
 
 #[test]
@@ -185,7 +185,7 @@
     let key = fleet.rig(1).state.directory.find("p1").expect("listed");
     let now = fleet.rig(1).now();
     let endpoint = fleet.rig(1).state.directory.get(key).expect("known");
-    assert!(now + Duration::from_secs(4) < endpoint.avoided);
+    assert!(now + Duration::from_secs(4) < endpoint.avoided_until);
 }
 
 /// Symptom: each daemon read the store several times a second, and most readings had no news.
@@ -195,15 +195,15 @@
 fn a_daemon_that_reads_a_change_makes_the_others_read() {
     let mut fleet = Fleet::new(5);
     fleet.busy(60);
-    let alone = fleet.rig(1).state.tuning.read_alone;
-    assert!((0..20).any(|_| alone < fleet.rig(1).state.read_wait()));
-    assert!(!fleet.rig(1).state.behind(Topic::Endpoints));
+    let alone = fleet.rig(1).state.tuning.solo_watch_wait;
+    assert!((0..20).any(|_| alone < fleet.rig(1).state.pick_watch_wait()));
+    assert!(!fleet.rig(1).state.is_stale(Topic::Endpoints));
     let draining = EndpointInfo { draining: true, ..model("d1", 2, Stage::Decode) };
     fleet.rig(0).list(vec![draining.clone()]);
     fleet.busy(2);
-    assert!(fleet.rig(1).state.behind(Topic::Endpoints));
+    assert!(fleet.rig(1).state.is_stale(Topic::Endpoints));
     fleet.rig(1).list(vec![draining]);
-    assert!(!fleet.rig(1).state.behind(Topic::Endpoints));
+    assert!(!fleet.rig(1).state.is_stale(Topic::Endpoints));
 }
 
 #[test]
@@ -212,7 +212,7 @@
     fleet.busy(60);
     fleet.rig(0).list(vec![model("d1", 2, Stage::Decode)]);
     fleet.busy(2);
-    assert!(!fleet.rig(1).state.behind(Topic::Endpoints));
+    assert!(!fleet.rig(1).state.is_stale(Topic::Endpoints));
 }
 
 /// Symptom: a daemon's view of the endpoints was 17 s old.
@@ -221,8 +221,8 @@
 #[test]
 fn a_daemon_that_hears_nobody_waits_shortly() {
     let mut rig = Rig::new();
-    let longest = (0..100).map(|_| rig.state.read_wait()).max();
-    assert!(longest <= Some(rig.state.tuning.read_alone));
+    let longest = (0..100).map(|_| rig.state.pick_watch_wait()).max();
+    assert!(longest <= Some(rig.state.tuning.solo_watch_wait));
 }
 
 /// Steps of 50 ms until the daemon has the calls that it has on average.
@@ -235,7 +235,7 @@
     let list = (0..19).map(|n| model(&format!("d{n}"), 100 + n, Stage::Decode));
     rig.list(list.chain([model("p1", 1, Stage::Prefill)]).collect());
     for n in 1..320 {
-        let beat = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
+        let beat = LoadGossip { incarnation: 1, sequence: 1, ..LoadGossip::default() };
         rig.feed(Event::gossip(address(n), beat));
     }
     rig
@@ -264,7 +264,7 @@
         // Its peers' heartbeats.
         for n in 1..320u16 {
             let from = SocketAddr::from(([10, 1, (n >> 8) as u8, n as u8], 7000));
-            let beat = LoadBeat { incarnation: 1, sequence: 2 + step, ..LoadBeat::default() };
+            let beat = LoadGossip { incarnation: 1, sequence: 2 + step, ..LoadGossip::default() };
             rig.feed(Event::gossip(from, beat));
         }
         let to = SocketAddr::from(([10, 1, 0, 1], 7000));
@@ -292,11 +292,11 @@
 #[test]
 fn a_daemon_that_starts_again_with_all_others_spares_its_seeds() {
     let seed = SocketAddr::from(([10, 0, 1, 1], 7000));
-    let sent_in_two_seconds = |start: Start| {
+    let sent_in_two_seconds = |start: SystemStart| {
         let mut rig = Rig::as_daemon(SocketAddr::from(([10, 0, 1, 2], 7000)), vec![seed]);
         rig.state.local.start = start;
         rig.list(vec![model("p1", 1, Stage::Prefill), model("d1", 2, Stage::Decode)]);
-        let beat = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
+        let beat = LoadGossip { incarnation: 1, sequence: 1, ..LoadGossip::default() };
         rig.feed(Event::gossip(seed, beat));
         rig.beats();
         let mut sent = 0;
@@ -308,6 +308,6 @@
         }
         sent
     };
-    assert!(90 <= sent_in_two_seconds(Start::First));
-    assert!(sent_in_two_seconds(Start::Again) <= 15);
+    assert!(90 <= sent_in_two_seconds(SystemStart::First));
+    assert!(sent_in_two_seconds(SystemStart::Restart) <= 15);
 }
