--- a/crates/basilbank_forward/tests/forward/quarantine.rs
+++ b/crates/basilbank_forward/tests/forward/quarantine.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
 use basilbank_forward::{event::Liveness, prelude::*};
-use basilbank_wire::{CrashReport, LoadBeat, Quarantined};
+use basilbank_wire::{CrashReport, LoadGossip, QuarantinedCall};
 use test_case::test_case;
 
 use crate::{
@@ -55,9 +55,9 @@
     }
 }
 
-fn quarantined(digest: u64) -> LoadBeat {
-    let told = Quarantined { digest, left: 3000 };
-    LoadBeat { incarnation: 1, sequence: 1, quarantined: vec![told], ..LoadBeat::default() }
+fn quarantined(digest: u64) -> LoadGossip {
+    let told = QuarantinedCall { digest, left: 3000 };
+    LoadGossip { incarnation: 1, sequence: 1, quarantined: vec![told], ..LoadGossip::default() }
 }
 
 fn peer(n: u8) -> SocketAddr {
@@ -69,9 +69,9 @@
     let mut rig = numbered(1);
     rig.feed(Event::gossip(peer(2), quarantined(DEADLY.0)));
     rig.pass_ms(10_000);
-    rig.feed(Event::gossip(peer(2), LoadBeat { sequence: 2, ..quarantined(9) }));
+    rig.feed(Event::gossip(peer(2), LoadGossip { sequence: 2, ..quarantined(9) }));
     rig.beats();
-    let greeting = LoadBeat { incarnation: 1, sequence: 1, ..LoadBeat::default() };
+    let greeting = LoadGossip { incarnation: 1, sequence: 1, ..LoadGossip::default() };
     rig.feed(Event::gossip(peer(3), greeting));
     let beats = rig.beats();
     let introduction = beats.iter().find(|(to, _)| *to == peer(3)).expect("an introduction");
@@ -85,7 +85,7 @@
     rig.list(vec![plain("e1", 1)]);
     let report = |endpoint, digest| CrashReport { endpoint, digest, ran: 30 };
     let tell = |rig: &mut Rig, sequence, crashes| {
-        let beat = LoadBeat { incarnation: 1, sequence, crashes, ..LoadBeat::default() };
+        let beat = LoadGossip { incarnation: 1, sequence, crashes, ..LoadGossip::default() };
         rig.feed(Event::gossip(peer(2), beat));
         rig.pass_ms(1000);
     };
@@ -106,13 +106,13 @@
     for (sequence, endpoint) in (1..).zip(1..=4) {
         let report = |digest, ran| CrashReport { endpoint, digest, ran };
         let crashes = vec![report(50, 4000), report(DEADLY.0, 60), report(51, 90 * endpoint)];
-        let beat = LoadBeat { incarnation: 1, sequence, crashes, ..LoadBeat::default() };
+        let beat = LoadGossip { incarnation: 1, sequence, crashes, ..LoadGossip::default() };
         rig.feed(Event::gossip(peer(2), beat));
         rig.pass_ms(1000);
     }
     let kept: Vec<_> = [50, 51, DEADLY.0]
         .into_iter()
-        .filter(|digest| rig.state.quarantine.left(Digest(*digest), rig.now()).is_some())
+        .filter(|digest| rig.state.quarantine.time_left(Digest(*digest), rig.now()).is_some())
         .collect();
     assert_eq!(kept, [DEADLY.0]);
 }
@@ -145,13 +145,13 @@
         let endpoint = u32::try_from(sequence).expect("small");
         let calls = (0..300).map(|n| CrashReport { endpoint, digest: sequence * 1000 + n, ran: 1 });
         let crashes = calls.collect();
-        let told = Quarantined { digest: sequence, left: 3000 };
-        let beat = LoadBeat {
+        let told = QuarantinedCall { digest: sequence, left: 3000 };
+        let beat = LoadGossip {
             incarnation: 1,
             sequence,
             crashes,
             quarantined: vec![told],
-            ..LoadBeat::default()
+            ..LoadGossip::default()
         };
         rig.feed(Event::gossip(peer(2), beat));
     }
--- a/crates/basilbank_forward/tests/forward/queue.rs
+++ b/crates/basilbank_forward/tests/forward/queue.rs
@@ -12,7 +12,7 @@
     let known = table(2);
     let writer = known.services[WRITER].clone();
     let mut routes = known.routes().to_vec();
-    routes.push(route("/edit/", Kind::Streaming, EDITOR, 1));
+    routes.push(route("/edit/", RouteKind::Streaming, EDITOR, 1));
     rig.configure(known.with_service(EDITOR, writer).with_routes(routes));
     let editor = |instance, port, stage| EndpointInfo {
         service: EDITOR.to_owned(),
--- a/crates/basilbank_forward/tests/forward/restart_schedules.rs
+++ b/crates/basilbank_forward/tests/forward/restart_schedules.rs
@@ -8,7 +8,7 @@
 };
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 use proptest::prelude::*;
 
 use crate::rig::{BUSY, Rig, model, prompt};
@@ -90,9 +90,9 @@
     sent: Vec<Vec<Sent>>,
     callers: Vec<Vec<RequestId>>,
     /// Datagrams under way: the step in which they arrive, to whom, from whom.
-    network: Vec<(u64, usize, SocketAddr, LoadBeat)>,
+    network: Vec<(u64, usize, SocketAddr, LoadGossip)>,
     /// All datagrams that were sent, by sender and number.
-    told: HashMap<(SocketAddr, u64), LoadBeat>,
+    told: HashMap<(SocketAddr, u64), LoadGossip>,
     step: u64,
     random: u64,
     hashes: HashMap<String, u32>,
@@ -100,11 +100,11 @@
 
 fn entry(endpoint: usize, born: u64) -> EndpointInfo {
     let (name, port, stage) = ENDPOINTS[endpoint];
-    EndpointInfo { born: Some(born), ..model(name, port, stage) }
+    EndpointInfo { start_time: Some(born), ..model(name, port, stage) }
 }
 
 fn start_name(info: &EndpointInfo) -> String {
-    format!("{}/{}", info.instance, info.born.expect("all say it"))
+    format!("{}/{}", info.instance, info.start_time.expect("all say it"))
 }
 
 /// How daemons name a start to each other: what one tells that knows nothing else.
@@ -270,7 +270,7 @@
         Ok(())
     }
 
-    fn send(&mut self, vm: usize, to: &[SocketAddr], beat: &LoadBeat) {
+    fn send(&mut self, vm: usize, to: &[SocketAddr], beat: &LoadGossip) {
         let from = self.vms[vm].0;
         self.told.insert((from, beat.sequence), beat.clone());
         let named = |n: &usize| *n != vm && to.contains(&self.vms[*n].0);
@@ -288,14 +288,14 @@
     fn check(&mut self, vm: usize) -> Result<(), TestCaseError> {
         let state = &self.vms[vm].1.state;
         let mut own: HashMap<EndpointKey, (u32, u32)> = HashMap::new();
-        let mut count = |key: EndpointKey, share: Share| {
+        let mut count = |key: EndpointKey, share: Usage| {
             let counted = own.entry(key).or_default();
             *counted = (counted.0 + share.calls, counted.1 + share.tokens);
         };
         for request in state.requests.values() {
-            request.live.iter().for_each(|live| count(live.endpoint, live.share));
-            if let Some(hold) = &request.draft.hold {
-                hold.share.iter().for_each(|share| count(hold.endpoint, *share));
+            request.active_attempts.iter().for_each(|live| count(live.endpoint, live.usage));
+            if let Some(hold) = &request.completion.hold {
+                hold.usage.iter().for_each(|share| count(hold.endpoint, *share));
             }
         }
         let mut others: HashMap<EndpointKey, (u32, u32)> = HashMap::new();
@@ -303,7 +303,7 @@
             let beat = &self.told[&(*from, peer.sequence)];
             for load in &peer.loads {
                 let counted = others.entry(load.endpoint).or_default();
-                *counted = (counted.0 + load.share.calls, counted.1 + load.share.tokens);
+                *counted = (counted.0 + load.usage.calls, counted.1 + load.usage.tokens);
                 let Some(endpoint) = state.directory.get(load.endpoint) else { continue };
                 let name = start_name(&endpoint.info);
                 let hash = self.hashes.entry(name).or_insert_with(|| wire_name(&endpoint.info));
@@ -311,7 +311,7 @@
                 let told = told.map(|told| (told.calls, told.tokens));
                 prop_assert_eq!(
                     told,
-                    Some((load.share.calls, load.share.tokens)),
+                    Some((load.usage.calls, load.usage.tokens)),
                     "told of another start"
                 );
             }
@@ -327,9 +327,9 @@
             prop_assert_eq!(own.get(&key).copied().unwrap_or_default(), counted);
             let counted = (endpoint.peer_calls, endpoint.peer_tokens);
             prop_assert_eq!(others.get(&key).copied().unwrap_or_default(), counted);
-            let sum = |shares: &[Share]| shares.iter().map(|share| share.tokens).sum::<u32>();
-            prop_assert_eq!(sum(&endpoint.own), endpoint.tokens);
-            prop_assert_eq!(sum(&endpoint.others), endpoint.peer_tokens);
+            let sum = |shares: &[Usage]| shares.iter().map(|share| share.tokens).sum::<u32>();
+            prop_assert_eq!(sum(&endpoint.own_usage), endpoint.tokens);
+            prop_assert_eq!(sum(&endpoint.peer_usage), endpoint.peer_tokens);
         }
         Ok(())
     }
@@ -352,8 +352,8 @@
             for (at, (name, ..)) in ENDPOINTS.iter().enumerate() {
                 let endpoint = directory.find(name).and_then(|key| directory.get(key));
                 let endpoint = endpoint.expect("listed");
-                prop_assert_eq!(endpoint.info.born, Some(self.starts[at]));
-                prop_assert_eq!((endpoint.all_calls(), endpoint.all_tokens()), (0, 0));
+                prop_assert_eq!(endpoint.info.start_time, Some(self.starts[at]));
+                prop_assert_eq!((endpoint.total_calls(), endpoint.total_tokens()), (0, 0));
             }
         }
         Ok(())
--- a/crates/basilbank_forward/tests/forward/restarted_drafts.rs
+++ b/crates/basilbank_forward/tests/forward/restarted_drafts.rs
@@ -134,7 +134,10 @@
     assert!(gives_nothing_back(&rig), "{:?}", rig.effects);
     for instance in ["p1", "d1"] {
         let endpoint = rig.state.directory.get(key(&rig, instance)).expect("listed");
-        assert_eq!((endpoint.avoided, endpoint.shunned), (Duration::ZERO, Duration::ZERO));
+        assert_eq!(
+            (endpoint.avoided_until, endpoint.reported_until),
+            (Duration::ZERO, Duration::ZERO)
+        );
     }
 }
 
--- a/crates/basilbank_forward/tests/forward/restarts.rs
+++ b/crates/basilbank_forward/tests/forward/restarts.rs
@@ -12,7 +12,7 @@
 
 /// An entry of the start at this time.
 pub fn born(at: u64, info: EndpointInfo) -> EndpointInfo {
-    EndpointInfo { born: Some(at), ..info }
+    EndpointInfo { start_time: Some(at), ..info }
 }
 
 fn at_port(port: u16, info: EndpointInfo) -> EndpointInfo {
@@ -57,7 +57,7 @@
 
 pub fn calls_at(rig: &Rig, instance: &str) -> (u32, u32) {
     let endpoint = rig.state.directory.get(key(rig, instance)).expect("listed");
-    (endpoint.all_calls(), endpoint.all_tokens())
+    (endpoint.total_calls(), endpoint.total_tokens())
 }
 
 /// Symptom: calls went out over connections of a start that was over.
@@ -114,7 +114,7 @@
 
 /// Symptom: none yet; what an entry says that doesn't name its start is a matter of choice.
 /// Sequence: one of two entries names its start.
-/// Cause: see `EndpointInfo::compare`.
+/// Cause: see `EndpointInfo::compare_start`.
 #[test_case(None, None, 1, true; "as before")]
 #[test_case(None, None, 2, true; "as before at another address")]
 #[test_case(Some(1), Some(1), 2, true; "the same start says where it is")]
@@ -123,9 +123,9 @@
 #[test_case(None, Some(1), 1, false; "one that begins to say is another")]
 fn an_entry_is_of_the_known_start(first: Option<u64>, next: Option<u64>, port: u16, same: bool) {
     let mut rig = Rig::new();
-    rig.list(vec![EndpointInfo { born: first, ..plain("a", 1) }]);
+    rig.list(vec![EndpointInfo { start_time: first, ..plain("a", 1) }]);
     let known = key(&rig, "a");
-    rig.list(vec![EndpointInfo { born: next, ..plain("a", port) }]);
+    rig.list(vec![EndpointInfo { start_time: next, ..plain("a", port) }]);
     assert_eq!(key(&rig, "a") == known, same);
     assert_eq!(forgotten(&rig, known), !same);
     let endpoint = rig.state.directory.get(key(&rig, "a")).expect("listed");
@@ -253,7 +253,8 @@
     let former = key(&one, "d1");
     one.feed(Event::OrderAnswered { endpoint: former, acceptance: Acceptance::Accepted });
     tell(&mut one, &mut other, address);
-    let avoided = |rig: &Rig| rig.state.directory.get(key(rig, "d1")).expect("listed").avoided;
+    let avoided =
+        |rig: &Rig| rig.state.directory.get(key(rig, "d1")).expect("listed").avoided_until;
     assert!(other.now() < avoided(&other));
     restart_decode(&mut other);
     tell(&mut one, &mut other, address);
@@ -283,8 +284,8 @@
     assert!(!rig.effects.iter().any(|effect| matches!(effect, Effect::Probe(_))));
     rig.feed(Event::Probed { endpoint: former, liveness: Liveness::Unreachable });
     let endpoint = rig.state.directory.get(key(&rig, "a")).expect("listed");
-    assert_eq!((endpoint.mean, endpoint.slowness), (None, 1.0));
-    assert_eq!((endpoint.avoided, endpoint.shunned), (Duration::ZERO, Duration::ZERO));
+    assert_eq!((endpoint.mean_answer_time, endpoint.slowness), (None, 1.0));
+    assert_eq!((endpoint.avoided_until, endpoint.reported_until), (Duration::ZERO, Duration::ZERO));
 }
 
 /// Symptom: as above.
@@ -303,7 +304,7 @@
     rig.came(id, call.number, outcome);
     assert!(rig.state.suspects.is_empty());
     let endpoint = rig.state.directory.get(key(&rig, "a")).expect("listed");
-    assert_eq!(endpoint.avoided, Duration::ZERO);
+    assert_eq!(endpoint.avoided_until, Duration::ZERO);
 }
 
 /// Symptom: a prefill endpoint that wasn't needed stayed one.
--- a/crates/basilbank_forward/tests/forward/restored_store.rs
+++ b/crates/basilbank_forward/tests/forward/restored_store.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::{LoadBeat, StoreRevision};
+use basilbank_wire::{LoadGossip, StoreRevision};
 use proptest::{
     prelude::{Just, ProptestConfig, Strategy, prop_assert, prop_assert_eq, prop_oneof, proptest},
     test_runner::RngSeed,
@@ -33,7 +33,7 @@
 
 /// The endpoints that get work.
 fn used(rig: &Rig) -> BTreeSet<String> {
-    rig.state.directory.service("desk").map(|(_, e)| e.info.instance.clone()).collect()
+    rig.state.directory.available("desk").map(|(_, e)| e.info.instance.clone()).collect()
 }
 
 fn names(names: &[&str]) -> BTreeSet<String> {
@@ -75,7 +75,7 @@
 fn a_new_era_is_news_also_without_a_change() {
     let mut rig = numbered(1);
     let from = SocketAddr::from(([10, 0, 0, 2], 7000));
-    rig.feed(Event::gossip(from, LoadBeat { sequence: 1, ..LoadBeat::default() }));
+    rig.feed(Event::gossip(from, LoadGossip { sequence: 1, ..LoadGossip::default() }));
     read_routes(&mut rig, 1, 900, 5);
     read_list(&mut rig, 1, 900, vec![plain("a", 1)]);
     read_routes(&mut rig, 2, 40, 5);
@@ -93,13 +93,13 @@
     read_routes(&mut rig, 1, 900, 5);
     let from = SocketAddr::from(([10, 0, 0, 2], 7000));
     let word = Some(StoreRevision { era: 7, number: 3 });
-    let beat = |sequence| LoadBeat { sequence, routes_news: word, ..LoadBeat::default() };
+    let beat = |sequence| LoadGossip { sequence, routes_news: word, ..LoadGossip::default() };
     rig.feed(Event::gossip(from, beat(1)));
-    assert!(rig.state.behind(Topic::Routes));
+    assert!(rig.state.is_stale(Topic::Routes));
     let revision = Revision { era: 7, number: 3 };
     rig.feed(Event::RevisionNotFound { topic: Topic::Routes, revision });
     rig.feed(Event::gossip(from, beat(2)));
-    assert!(!rig.state.behind(Topic::Routes));
+    assert!(!rig.state.is_stale(Topic::Routes));
 }
 
 #[test]
@@ -173,12 +173,12 @@
 #[test]
 fn an_older_start_in_the_copy_does_not_replace_the_present_one() {
     let mut rig = Rig::new();
-    let start = |born, port| EndpointInfo { born: Some(born), ..plain("a", port) };
+    let start = |born, port| EndpointInfo { start_time: Some(born), ..plain("a", port) };
     read_list(&mut rig, 1, 900, vec![start(1000, 1)]);
     change_list(&mut rig, 1, 901, vec![start(2000, 2)], &[]);
     read_list(&mut rig, 2, 40, vec![start(1000, 1)]);
     let key = rig.state.directory.find("a").expect("known");
-    let born = rig.state.directory.get(key).map(|endpoint| endpoint.info.born);
+    let born = rig.state.directory.get(key).map(|endpoint| endpoint.info.start_time);
     assert_eq!(born, Some(Some(2000)));
 }
 
@@ -190,14 +190,14 @@
     let mut rig = numbered(1);
     read_routes(&mut rig, 2, 40, 3);
     read_list(&mut rig, 2, 40, vec![plain("a", 1)]);
-    assert!(!rig.state.outdated());
+    assert!(!rig.state.is_configuration_outdated());
     let from = SocketAddr::from(([10, 0, 0, 2], 7000));
-    let beat = |sequence, version| LoadBeat { sequence, version, ..LoadBeat::default() };
+    let beat = |sequence, version| LoadGossip { sequence, version, ..LoadGossip::default() };
     rig.feed(Event::gossip(from, beat(1, 5)));
     rig.feed(Event::gossip(from, beat(2, 0)));
-    assert!(rig.state.outdated());
+    assert!(rig.state.is_configuration_outdated());
     read_routes(&mut rig, 2, 41, 5);
-    assert!(!rig.state.outdated());
+    assert!(!rig.state.is_configuration_outdated());
 }
 
 /// Symptom: an endpoint refused the orders of the daemon that has the right to give them.
--- a/crates/basilbank_forward/tests/forward/rig.rs
+++ b/crates/basilbank_forward/tests/forward/rig.rs
@@ -7,7 +7,7 @@
 };
 
 use basilbank_forward::{prelude::*, route::EngineInfo};
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 /// The plain service of the tests.
 pub const DESK: &str = "desk";
@@ -32,7 +32,7 @@
 
     /// The same, started again.
     pub fn restarted() -> Rig {
-        Rig::with_local(Local::default().with_start(Start::Again))
+        Rig::with_local(Local::default().with_start(SystemStart::Restart))
     }
 
     /// One of several daemons.
@@ -63,7 +63,7 @@
     }
 
     /// The datagrams since the last look; all else is dropped.
-    pub fn beats(&mut self) -> Vec<(SocketAddr, LoadBeat)> {
+    pub fn beats(&mut self) -> Vec<(SocketAddr, LoadGossip)> {
         let effects = std::mem::take(&mut self.effects);
         let beats = effects.into_iter().filter_map(|effect| match effect {
             Effect::SendGossip { to, gossip } => Some((to, *gossip)),
@@ -213,25 +213,25 @@
 /// The same with decode endpoints of some tokens of memory.
 pub fn table_with_memory(version: u64, memory: u32) -> RouteTable {
     let engine = EngineInfo {
-        memory,
-        kept: Duration::from_millis(500),
-        switch: Duration::from_secs(6),
-        hold: Duration::from_secs(2),
+        memory_tokens: memory,
+        kv_ttl: Duration::from_millis(500),
+        stage_change: Duration::from_secs(6),
+        max_hold: Duration::from_secs(2),
     };
     let writer = Service { engine: Some(engine) };
     RouteTable::new(version)
         .with_service(DESK, Service::default())
         .with_service(WRITER, writer)
         .with_routes(vec![
-            route("/stock/", Kind::NonIdempotent, DESK, 1),
-            route("/sheet/", Kind::Idempotent, DESK, 2),
-            route("/draft/", Kind::Streaming, WRITER, 2),
-            route("/once/", Kind::Streaming, WRITER, 1),
+            route("/stock/", RouteKind::NonIdempotent, DESK, 1),
+            route("/sheet/", RouteKind::Idempotent, DESK, 2),
+            route("/draft/", RouteKind::Streaming, WRITER, 2),
+            route("/once/", RouteKind::Streaming, WRITER, 1),
         ])
 }
 
 /// A route; only `/draft/` streams are resumable.
-pub fn route(prefix: &str, kind: Kind, service: &str, attempts: u32) -> Route {
+pub fn route(prefix: &str, kind: RouteKind, service: &str, attempts: u32) -> Route {
     Route {
         name: prefix.trim_matches('/').to_owned(),
         host: "shop.example".to_owned(),
@@ -240,7 +240,7 @@
         timeout: Duration::from_secs(14),
         target: Duration::from_millis(if service == WRITER { 900 } else { 150 }),
         split: vec![(service.to_owned(), 1)],
-        attempts,
+        max_attempts: attempts,
         resumable: prefix == "/draft/",
         public: false,
     }
@@ -259,7 +259,7 @@
 fn endpoint(instance: &str, port: u16, service: &str, stage: Option<Stage>) -> EndpointInfo {
     EndpointInfo {
         instance: instance.to_owned(),
-        born: None,
+        start_time: None,
         service: service.to_owned(),
         addr: SocketAddr::from(([10, 0, 0, 1], port)),
         data_centre: "hall-a".to_owned(),
--- a/crates/basilbank_forward/tests/forward/roles.rs
+++ b/crates/basilbank_forward/tests/forward/roles.rs
@@ -75,7 +75,7 @@
     // The list is not confirmed any more: the daemon may be cut off.
     for _ in 0..10 {
         rig.feed(Event::EndpointsReadFailed);
-        rig.state.roles.grew += std::time::Duration::from_millis(500);
+        rig.state.roles.list_grew += std::time::Duration::from_millis(500);
         rig.pass_ms(500);
     }
     assert!(!rig.effects.iter().any(|e| matches!(e, Effect::Order { .. })));
--- a/crates/basilbank_forward/tests/forward/routes.rs
+++ b/crates/basilbank_forward/tests/forward/routes.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::{LoadBeat, StoreRevision};
+use basilbank_wire::{LoadGossip, StoreRevision};
 use test_case::test_case;
 
 use crate::rig::{Rig, plain, route, table};
@@ -13,18 +13,18 @@
 #[test_case("shop.example", "/sheet", None; "a prefix ends with a slash")]
 #[test_case("other.example", "/sheet/1", None; "another host")]
 fn the_longest_prefix_is_the_route(host: &str, path: &str, name: Option<&str>) {
-    let mut deep = route("/sheet/deep/", Kind::Idempotent, "desk", 1);
+    let mut deep = route("/sheet/deep/", RouteKind::Idempotent, "desk", 1);
     deep.name = "deep".to_owned();
-    let table =
-        RouteTable::new(1).with_routes(vec![route("/sheet/", Kind::Idempotent, "desk", 1), deep]);
+    let table = RouteTable::new(1)
+        .with_routes(vec![route("/sheet/", RouteKind::Idempotent, "desk", 1), deep]);
     assert_eq!(table.find(host, path).map(|r| r.name.as_str()), name);
 }
 
 #[test]
 fn weights_split_a_route() {
-    let mut split = route("/s/", Kind::Idempotent, "desk", 1);
+    let mut split = route("/s/", RouteKind::Idempotent, "desk", 1);
     split.split = vec![("a".to_owned(), 90), ("b".to_owned(), 10)];
-    let count = (0..100).filter(|n| split.service(f64::from(*n) / 100.0) == Some("b")).count();
+    let count = (0..100).filter(|n| split.pick_service(f64::from(*n) / 100.0) == Some("b")).count();
     assert_eq!(count, 10);
 }
 
@@ -51,8 +51,12 @@
     rig.list(vec![plain("a", 1)]);
     let from = SocketAddr::from(([10, 0, 1, 2], 7000));
     let news = StoreRevision { era: 0, number: 500 };
-    let beat =
-        LoadBeat { incarnation: 1, sequence: 1, routes_news: Some(news), ..LoadBeat::default() };
+    let beat = LoadGossip {
+        incarnation: 1,
+        sequence: 1,
+        routes_news: Some(news),
+        ..LoadGossip::default()
+    };
     rig.feed(Event::gossip(from, beat));
     rig.call("/nowhere/", 1000, None);
     assert_eq!(rig.refusals(), [Refusal::Outdated]);
@@ -78,9 +82,9 @@
 #[test]
 fn a_daemon_is_ready_when_it_knows_all_and_stays() {
     let mut rig = Rig::new();
-    assert!(!rig.state.ready());
+    assert!(!rig.state.is_ready());
     rig.list(vec![plain("a", 1)]);
-    assert!(rig.state.ready());
+    assert!(rig.state.is_ready());
     rig.feed(Event::Shutdown { grace: Duration::from_secs(8) });
-    assert!(!rig.state.ready());
+    assert!(!rig.state.is_ready());
 }
--- a/crates/basilbank_forward/tests/forward/share.rs
+++ b/crates/basilbank_forward/tests/forward/share.rs
@@ -4,25 +4,25 @@
 
 use basilbank_forward::{
     prelude::*,
-    state::share::{Growth, peak},
+    state::usage::{Growth, peak_tokens},
 };
 
 const NOW: Duration = Duration::from_secs(100);
-const GROWTH: Growth = Growth { pace: 1000.0, margin: 0.0 };
+const GROWTH: Growth = Growth { rate: 1000.0, margin: 0.0 };
 
 /// A draft that has been generated for so long.
-fn running(prompt: u32, output: u32, ms: u64) -> Share {
+fn running(prompt: u32, output: u32, ms: u64) -> Usage {
     let since = Some(NOW - Duration::from_millis(ms));
-    Share { since, ..Share::draft(prompt, output) }
+    Usage { generating_since: since, ..Usage::completion(prompt, output) }
 }
 
-fn peak_of(shares: &[Share]) -> f64 {
-    peak(shares.iter().copied(), f64::MAX, NOW, GROWTH)
+fn peak_of(shares: &[Usage]) -> f64 {
+    peak_tokens(shares.iter().copied(), f64::MAX, NOW, GROWTH)
 }
 
 #[test]
 fn drafts_that_begin_together_need_their_ends_together() {
-    let shares = [Share::draft(5000, 3000); 4];
+    let shares = [Usage::completion(5000, 3000); 4];
     assert_eq!(peak_of(&shares), 32_000.0);
 }
 
@@ -36,16 +36,16 @@
 #[test]
 fn before_anything_is_measured_each_counts_as_if_it_had_just_begun() {
     let shares: Vec<_> = (0..4).map(|n| running(5000, 4000, n * 1000)).collect();
-    let peak = peak(shares.into_iter(), f64::MAX, NOW, Growth::default());
+    let peak = peak_tokens(shares.into_iter(), f64::MAX, NOW, Growth::default());
     assert_eq!(peak, 36_000.0);
 }
 
 #[test]
 fn what_comes_after_a_draft_has_ended_is_not_its_concern() {
-    let long = [Share::draft(1000, 9000); 2];
-    let short = Share::draft(1000, 100);
+    let long = [Usage::completion(1000, 9000); 2];
+    let short = Usage::completion(1000, 100);
     let shares = long.into_iter().chain([short]);
-    assert_eq!(peak(shares, 100.0, NOW, GROWTH), 3300.0);
+    assert_eq!(peak_tokens(shares, 100.0, NOW, GROWTH), 3300.0);
 }
 
 /// Symptom: an endpoint put drafts back while its daemons took it for half empty.
@@ -55,7 +55,7 @@
 #[test]
 fn a_draft_that_is_longer_than_estimated_still_counts() {
     let overdue = running(5000, 1000, 3000);
-    assert_eq!(overdue.left(NOW, 1000.0), 250.0);
+    assert_eq!(overdue.tokens_left(NOW, 1000.0), 250.0);
     assert!(5000.0 < peak_of(&[overdue]));
 }
 
@@ -63,8 +63,8 @@
 fn wrong_estimates_matter_as_far_as_drafts_grow() {
     let growth = Growth { margin: 1.0, ..GROWTH };
     let room = |output| {
-        let shares = [Share::draft(3000, output); 9];
-        peak(shares.into_iter(), f64::MAX, NOW, growth) - peak_of(&shares)
+        let shares = [Usage::completion(3000, output); 9];
+        peak_tokens(shares.into_iter(), f64::MAX, NOW, growth) - peak_of(&shares)
     };
     assert_eq!(room(400), 1200.0);
     assert_eq!(room(6000), 18_000.0);
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_peers_drafts_grow_together() {
-    let peers = Share { calls: 2, tokens: 12_000, left: 4000, since: Some(NOW) };
-    assert_eq!(peers.left(NOW + Duration::from_secs(1), 1000.0), 2000.0);
+    let peers = Usage { calls: 2, tokens: 12_000, tokens_left: 4000, generating_since: Some(NOW) };
+    assert_eq!(peers.tokens_left(NOW + Duration::from_secs(1), 1000.0), 2000.0);
     assert_eq!(peak_of(&[peers]), 12_000.0);
 }
--- a/crates/basilbank_forward/tests/forward/watchers.rs
+++ b/crates/basilbank_forward/tests/forward/watchers.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use basilbank_forward::prelude::*;
-use basilbank_wire::{EndpointLoad, LoadBeat, StoreRevision};
+use basilbank_wire::{EndpointLoad, LoadGossip, StoreRevision};
 
 use crate::rig::{Rig, plain};
 
@@ -26,14 +26,14 @@
 
 fn say(rig: &mut Rig, own: u8, fleet: u8, sequence: u64, watching: impl Fn(u8) -> bool) {
     for n in (0..fleet).filter(|n| *n != own) {
-        let beat = LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() };
-        rig.feed(Event::gossip(address(n), LoadBeat { watching: watching(n), ..beat }));
+        let beat = LoadGossip { incarnation: 1, sequence, ..LoadGossip::default() };
+        rig.feed(Event::gossip(address(n), LoadGossip { watching: watching(n), ..beat }));
     }
 }
 
 /// Those that take themselves for watchers, as each daemon decides by itself.
 fn watchers() -> Vec<u8> {
-    (0..FLEET).filter(|n| daemon(*n, FLEET, |_| false).state.watches()).collect()
+    (0..FLEET).filter(|n| daemon(*n, FLEET, |_| false).state.is_watcher()).collect()
 }
 
 /// One that doesn't watch.
@@ -53,18 +53,18 @@
     let first = watchers()[0];
     let mut rig = daemon(first, FLEET, |_| false);
     rig.feed(Event::Shutdown { grace: Duration::from_secs(8) });
-    assert!(!rig.state.watches());
+    assert!(!rig.state.is_watcher());
     // All that watch have drafts yet, and leave.
     let watchers = watchers();
-    let load = EndpointLoad { endpoint: 1, tokens: 1, calls: 1, left: 0 };
+    let load = EndpointLoad { endpoint: 1, tokens: 1, calls: 1, tokens_left: 0 };
     let next = (0..FLEET).filter(|n| !watchers.contains(n)).filter(|n| {
         let mut rig = daemon(*n, FLEET, |_| false);
         for at in &watchers {
             let beat =
-                LoadBeat { incarnation: 1, sequence: 2, leaving: true, ..LoadBeat::default() };
+                LoadGossip { incarnation: 1, sequence: 2, leaving: true, ..LoadGossip::default() };
             rig.feed(Event::gossip(address(*at), beat.with_loads([load])));
         }
-        rig.state.watches()
+        rig.state.is_watcher()
     });
     assert_eq!(next.count(), WATCHERS);
 }
@@ -72,7 +72,7 @@
 #[test]
 fn each_daemon_of_a_small_fleet_watches_itself() {
     let rig = daemon(0, 8, |_| true);
-    assert!(!rig.state.rests().follows);
+    assert!(!rig.state.follow_state().follows);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let watchers = watchers();
     let saying = |count: usize| {
         let said = watchers[..count].to_vec();
-        follower(move |n| said.contains(&n)).1.state.rests().follows
+        follower(move |n| said.contains(&n)).1.state.follow_state().follows
     };
     assert!(saying(WATCHERS));
     assert!(saying(3));
@@ -93,9 +93,9 @@
 #[test]
 fn a_word_that_is_old_counts_no_more() {
     let (_, mut rig) = follower(|_| true);
-    assert!(rig.state.rests().follows);
+    assert!(rig.state.follow_state().follows);
     rig.pass_ms(1800);
-    assert!(!rig.state.rests().follows);
+    assert!(!rig.state.follow_state().follows);
 }
 
 #[test]
@@ -110,10 +110,10 @@
     let (_, beat) = rig.beats().pop().expect("a datagram");
     assert!(!beat.watching);
     let (_, mut other) = follower(|_| true);
-    let before = other.state.rests().doubts;
-    let beat = LoadBeat { incarnation: 1, sequence: 2, ..LoadBeat::default() };
+    let before = other.state.follow_state().watcher_losses;
+    let beat = LoadGossip { incarnation: 1, sequence: 2, ..LoadGossip::default() };
     other.feed(Event::gossip(address(at), beat));
-    assert_eq!(other.state.rests().doubts, before + 1);
+    assert_eq!(other.state.follow_state().watcher_losses, before + 1);
 }
 
 /// Symptom: at each change of the list 195 daemons sent 194 datagrams each.
@@ -125,10 +125,10 @@
     rig.pass_ms(600);
     rig.beats();
     let told = Some(StoreRevision { era: 0, number: 40 });
-    let beat = LoadBeat { incarnation: 1, sequence: 2, watching: true, ..LoadBeat::default() };
+    let beat = LoadGossip { incarnation: 1, sequence: 2, watching: true, ..LoadGossip::default() };
     let from = address((n + 1) % FLEET);
-    rig.feed(Event::gossip(from, LoadBeat { endpoints_news: told, ..beat }));
-    assert!(rig.state.behind(Topic::Endpoints));
+    rig.feed(Event::gossip(from, LoadGossip { endpoints_news: told, ..beat }));
+    assert!(rig.state.is_stale(Topic::Endpoints));
     rig.set_revision(39);
     rig.beats();
     rig.list(vec![plain("a", 1), plain("b", 2)]);
@@ -150,7 +150,7 @@
     rig.pass_ms(300);
     assert_eq!(rig.state.view_age(rig.now()), Duration::from_millis(300));
     rig.pass_ms(5000);
-    assert!(!rig.state.rests().follows);
+    assert!(!rig.state.follow_state().follows);
     assert!(
         Duration::from_millis(6300) <= rig.state.view_age(rig.now()),
         "it has read nothing since"
--- a/crates/basilbank_gateway/src/edge.rs
+++ b/crates/basilbank_gateway/src/edge.rs
@@ -80,8 +80,9 @@
 }
 
 async fn connection(router: Rc<Router>, stream: TcpStream, closing: watch::Receiver<bool>) {
-    let bounds = router.read(|state| state.routes.bounds);
-    let terms = Terms { write_time: WRITE, head_time: bounds.idle, head_bytes: bounds.head };
+    let bounds = router.read(|state| state.routes.limits);
+    let terms =
+        Terms { write_time: WRITE, head_time: bounds.idle_timeout, head_bytes: bounds.head_bytes };
     let (serving, leaving) = (Rc::clone(&router), closing.clone());
     let handle = move |request| {
         let (router, leaving) = (Rc::clone(&serving), leaving.clone());
--- a/crates/basilbank_gateway/src/peers.rs
+++ b/crates/basilbank_gateway/src/peers.rs
@@ -4,7 +4,7 @@
 
 use basilbank::logs::Line;
 use basilbank_forward::Event;
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 use prost::Message;
 use tokio::net::UdpSocket;
 
@@ -22,7 +22,7 @@
             tokio::task::yield_now().await;
             continue;
         };
-        match LoadBeat::decode(&buffer[..length]) {
+        match LoadGossip::decode(&buffer[..length]) {
             Ok(beat) => router.dispatch(Event::gossip(from, beat)),
             Err(error) => {
                 log::warn!("{}", Line::new("bad_datagram").with("from", from).with("error", error));
@@ -33,7 +33,7 @@
 
 /// Sends one datagram to each. What can't be sent at once is lost, as datagrams may be; the next
 /// one says it all again.
-pub fn say(socket: &UdpSocket, to: &[SocketAddr], beat: &LoadBeat) {
+pub fn say(socket: &UdpSocket, to: &[SocketAddr], beat: &LoadGossip) {
     let bytes = beat.encode_to_vec();
     for address in to {
         let _ = socket.try_send_to(&bytes, *address);
--- a/crates/basilbank_gateway/src/reader.rs
+++ b/crates/basilbank_gateway/src/reader.rs
@@ -176,7 +176,7 @@
         let came = Came::Answer {
             store: reading.at.store.number,
             // A change that can't be used is one, too: it costs the same.
-            changed: !reading.at.newest.is_none() || !findings.is_empty(),
+            changed: !reading.at.latest_change.is_none() || !findings.is_empty(),
             next: reading.next.clone(),
             bytes: open.progress.bytes(),
         };
--- a/crates/basilbank_gateway/src/reading.rs
+++ b/crates/basilbank_gateway/src/reading.rs
@@ -30,7 +30,7 @@
         if self.at.store.is_none() {
             self.at.store = page.at.store;
         }
-        self.at.newest = self.at.newest.max(page.at.newest);
+        self.at.latest_change = self.at.latest_change.max(page.at.latest_change);
         self.table = page.table.or(self.table.take());
         self.listed.extend(page.listed);
         self.findings.extend(page.findings);
--- a/crates/basilbank_gateway/src/request.rs
+++ b/crates/basilbank_gateway/src/request.rs
@@ -24,7 +24,7 @@
 /// Serves one request.
 pub async fn serve(router: Rc<Router>, request: Request<Incoming>) -> Response<OutBody> {
     let (head, body) = request.into_parts();
-    let most = router.read(|state| state.routes.bounds.body);
+    let most = router.read(|state| state.routes.limits.body_bytes);
     let body = match read_body(body, most).await {
         Ok(body) => body,
         Err(bad) => {
@@ -71,11 +71,11 @@
 
 /// Too long by a configuration that is no longer in force may be allowed: the caller may come back.
 fn unless_outdated(answer: OwnAnswer, state: &State) -> OwnAnswer {
-    if answer.status != StatusCode::PAYLOAD_TOO_LARGE || !state.outdated() {
+    if answer.status != StatusCode::PAYLOAD_TOO_LARGE || !state.is_configuration_outdated() {
         return answer;
     }
     let later = OwnAnswer::new(StatusCode::SERVICE_UNAVAILABLE, Refusal::Outdated.as_str());
-    later.with_after(Some(state.tuning.come_back))
+    later.with_after(Some(state.tuning.retry_after))
 }
 
 /// Refuses a request that the decisions never heard of.
--- a/crates/basilbank_gateway/src/router.rs
+++ b/crates/basilbank_gateway/src/router.rs
@@ -133,7 +133,7 @@
 
     /// Runs the decisions about reads of a topic for one event.
     pub fn step_reader(&self, topic: Topic, event: ReadEvent, effects: &mut Vec<ReadEffect>) {
-        let around = self.state.borrow_mut().around(topic);
+        let around = self.state.borrow_mut().reader_context(topic);
         let mut readers = self.readers.borrow_mut();
         if readers.step(topic, self.now(), around, event, effects) {
             self.nudges.get(topic.other()).notify_one();
@@ -165,16 +165,17 @@
         let mut effects = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            let (before, news) = (state.wake_at(), state.news);
-            let rest = state.rests();
+            let (before, news) = (state.wake_at(), state.latest_changes);
+            let rest = state.follow_state();
             reduce(&mut state, self.clock.now(), event, &mut effects);
             let after = state.wake_at();
             if after.is_some_and(|at| before.is_none_or(|before| at < before)) {
                 self.changed.notify_one();
             }
-            let roused = rest != state.rests();
+            let roused = rest != state.follow_state();
             for topic in Topic::ALL {
-                let behind = news.get(topic) < state.news.get(topic) && state.behind(topic);
+                let behind =
+                    news.get(topic) < state.latest_changes.get(topic) && state.is_stale(topic);
                 if behind || roused {
                     self.nudges.get(topic).notify_one();
                 }
--- a/crates/basilbank_gateway/src/side.rs
+++ b/crates/basilbank_gateway/src/side.rs
@@ -55,7 +55,7 @@
             (StatusCode::OK, router.metrics.text())
         }
         "/ready" => {
-            let ready = router.read(basilbank_forward::State::ready);
+            let ready = router.read(basilbank_forward::State::is_ready);
             router.metrics.set_ready(i64::from(ready));
             match ready {
                 true => (StatusCode::OK, String::new()),
--- a/crates/basilbank_gateway/tests/reader/false_words.rs
+++ b/crates/basilbank_gateway/tests/reader/false_words.rs
@@ -22,7 +22,7 @@
 
 /// Whether a route that isn't known may be denied.
 fn may_deny(rig: &Rig) -> bool {
-    rig.router.read(|state| !state.outdated())
+    rig.router.read(|state| !state.is_configuration_outdated())
 }
 
 /// Symptom: a daemon answered 503 for routes that there are not, for ever, and so did all others.
--- a/crates/basilbank_gateway/tests/reader/limits.rs
+++ b/crates/basilbank_gateway/tests/reader/limits.rs
@@ -101,7 +101,7 @@
                 "1" if !failed.replace(true) => Err(ReadError::Failed("status 503".to_owned())),
                 "1" => Ok(Reading { next: Some("2".to_owned()), ..list(10, &["a", "b"]) }),
                 _ => Ok(Reading {
-                    at: Revisions { store: 14.into(), newest: 9.into() },
+                    at: Revisions { store: 14.into(), latest_change: 9.into() },
                     ..list(0, &["a", "b", "c"])
                 }),
             }),
--- a/crates/basilbank_gateway/tests/reader/rig.rs
+++ b/crates/basilbank_gateway/tests/reader/rig.rs
@@ -14,7 +14,7 @@
     BadCall, Dialect, Head, Metrics, OutRequest, Progress, Read, ReadError, Reading, Router,
     run_reader,
 };
-use basilbank_wire::{LoadBeat, StoreRevision};
+use basilbank_wire::{LoadGossip, StoreRevision};
 use hyper::{Response, StatusCode};
 use tokio::{
     runtime::Builder,
@@ -90,7 +90,7 @@
         loop {
             self.heard.set(self.heard.get() + 1);
             let sequence = self.heard.get();
-            let mut beat = LoadBeat { incarnation: 1, sequence, ..LoadBeat::default() };
+            let mut beat = LoadGossip { incarnation: 1, sequence, ..LoadGossip::default() };
             match topic {
                 Topic::Routes => beat.routes_news = told,
                 Topic::Endpoints => beat.endpoints_news = told,
@@ -153,7 +153,7 @@
 pub fn list(revision: u64, instances: &[&str]) -> Reading {
     let listed = instances.iter().zip(1..).map(|(instance, n)| EndpointInfo {
         instance: (*instance).to_owned(),
-        born: None,
+        start_time: None,
         service: "desk".to_owned(),
         addr: SocketAddr::from(([10, 0, 9, n], 8000)),
         data_centre: "hall-a".to_owned(),
--- a/crates/basilbank_gateway/tests/reader/store.rs
+++ b/crates/basilbank_gateway/tests/reader/store.rs
@@ -75,8 +75,10 @@
             Topic::Routes => configuration(1, self.version(at)),
             Topic::Endpoints => list(1, &["a"]),
         };
-        let at =
-            Revisions { store: self.revision(at).into(), newest: self.newest(topic, at).into() };
+        let at = Revisions {
+            store: self.revision(at).into(),
+            latest_change: self.newest(topic, at).into(),
+        };
         Reading { at, ..reading }
     }
 
@@ -109,7 +111,7 @@
             }
             if self.newest(topic, begun.elapsed()) <= after {
                 let store = self.revision(begun.elapsed()).into();
-                let at = Revisions { store, newest: Revision::NONE };
+                let at = Revisions { store, latest_change: Revision::NONE };
                 return Ok(Reading { at, ..Reading::default() });
             }
         }
--- a/crates/basilbank_gateway/tests/reader/topics.rs
+++ b/crates/basilbank_gateway/tests/reader/topics.rs
@@ -27,7 +27,7 @@
         let rig = Rig::new();
         // The watch doesn't end by itself meanwhile.
         rig.router.tune(|tuning| {
-            (tuning.read_alone, tuning.read_longest) = (ms(20_000), ms(20_000));
+            (tuning.solo_watch_wait, tuning.max_watch_wait) = (ms(20_000), ms(20_000));
         });
         let silent = Cell::new(true);
         rig.read(Topic::Endpoints, move |query, _| match query.scope {
@@ -76,7 +76,7 @@
         let rig = Rig::new();
         // The list's watch ends within 2.8 s, the configuration's not before 3.1.
         rig.router.tune(|tuning| {
-            (tuning.read_alone, tuning.read_longest) = (ms(2000), ms(2000));
+            (tuning.solo_watch_wait, tuning.max_watch_wait) = (ms(2000), ms(2000));
         });
         let (list_dead, routes_dead) = (Cell::new(true), Cell::new(true));
         rig.read(Topic::Endpoints, move |query, _| match query.scope {
--- a/crates/basilbank_wire/src/words.rs
+++ b/crates/basilbank_wire/src/direct.rs
@@ -40,12 +40,12 @@
     pub acknowledged: i64,
     /// A request that waits for the answer before it is taken.
     #[prost(message, optional, tag = "5")]
-    pub ask: Option<QuotaAsk>,
+    pub ask: Option<QuotaRequest>,
 }
 
 /// A request that asks for its part of a quota.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// Names it between the two.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
--- a/crates/basilbank_wire/src/lib.rs
+++ b/crates/basilbank_wire/src/lib.rs
@@ -8,20 +8,20 @@
 //! ```
 
 mod codec;
+mod direct;
 mod drop_reason;
 mod load;
 mod message;
 mod replay;
 mod seal;
-mod words;
 
 pub use codec::Frames;
+pub use direct::{ConfigurationAge, QuotaAnswer, QuotaCounted, QuotaRequest, QuotaState, QuotaUse};
 pub use drop_reason::DropReason;
 pub use load::{
-    CallLimitSeen, CrashReport, EndpointLoad, LoadBeat, PeerAddress, Permit, PermitWord,
-    Quarantined, ServicePace, Shunned, StoreRevision, WaitingDraft,
+    AvoidedEndpoint, CallLimitReport, CrashReport, EndpointLoad, LoadGossip, PeerAddress, Permit,
+    PermitKind, QuarantinedCall, ServiceGenerationStats, StoreRevision, WaitingCompletion,
 };
 pub use message::*;
 pub use replay::{ReplayGuard, SENDERS, WINDOW};
 pub use seal::{SEAL_LEN, Sealer};
-pub use words::{ConfigurationAge, QuotaAnswer, QuotaAsk, QuotaCounted, QuotaState, QuotaUse};
--- a/crates/basilbank_wire/src/load.rs
+++ b/crates/basilbank_wire/src/load.rs
@@ -1,12 +1,12 @@
 //! The datagram by which daemons that forward calls share what they have at endpoints.
 
-use crate::words::{ConfigurationAge, QuotaState, QuotaUse};
+use crate::direct::{ConfigurationAge, QuotaState, QuotaUse};
 
 /// All that one daemon has at endpoints, and some peers that it knows.
 ///
 /// It is the whole state each time, so that a lost datagram is mended by the next one.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct LoadBeat {
+pub struct LoadGossip {
     /// The sender's incarnation: its process's start, milliseconds since the Unix epoch.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
@@ -33,16 +33,16 @@
     pub left: Vec<u32>,
     /// How fast the sender's drafts were generated.
     #[prost(message, repeated, tag = "14")]
-    pub paces: Vec<ServicePace>,
+    pub paces: Vec<ServiceGenerationStats>,
     /// The first draft of each service that waits for room.
     #[prost(message, repeated, tag = "15")]
-    pub waiting: Vec<WaitingDraft>,
+    pub waiting: Vec<WaitingCompletion>,
     /// Some peers that the sender knows.
     #[prost(message, repeated, tag = "5")]
     pub peers: Vec<PeerAddress>,
     /// Endpoints that the sender knows to refuse work.
     #[prost(message, repeated, tag = "6")]
-    pub shunned: Vec<Shunned>,
+    pub shunned: Vec<AvoidedEndpoint>,
     /// The store's revision at which the last change of an endpoint's entry was seen, other than its
     /// heartbeat; none when it was told before. Tags 7, 11 and 12 were revisions without an era, and are
     /// not used again.
@@ -65,10 +65,10 @@
     pub cleared: Vec<u64>,
     /// Calls that are in quarantine.
     #[prost(message, repeated, tag = "22")]
-    pub quarantined: Vec<Quarantined>,
+    pub quarantined: Vec<QuarantinedCall>,
     /// What endpoints have lately said to the sender of the calls that they take.
     #[prost(message, repeated, tag = "23")]
-    pub limits: Vec<CallLimitSeen>,
+    pub limits: Vec<CallLimitReport>,
     /// Words about single calls to endpoints with a limit. A datagram with such words has no sequence, and
     /// tells nothing else.
     #[prost(message, repeated, tag = "24")]
@@ -99,15 +99,15 @@
     pub number: u64,
 }
 
-impl LoadBeat {
+impl LoadGossip {
     /// With what the sender has at endpoints.
     #[must_use]
-    pub fn with_loads(mut self, loads: impl IntoIterator<Item = EndpointLoad>) -> LoadBeat {
+    pub fn with_loads(mut self, loads: impl IntoIterator<Item = EndpointLoad>) -> LoadGossip {
         for load in loads {
             self.endpoints.push(load.endpoint);
             self.tokens.push(load.tokens);
             self.calls.push(load.calls);
-            self.left.push(load.left);
+            self.left.push(load.tokens_left);
         }
         self
     }
@@ -121,23 +121,23 @@
             endpoint: *endpoint,
             tokens: *tokens,
             calls: *calls,
-            left: left.min(*tokens),
+            tokens_left: left.min(*tokens),
         })
     }
 
     /// Bytes that it takes on the wire, with the headers of IPv4 and UDP.
     #[must_use]
     pub fn wire_bytes(&self) -> usize {
-        prost::Message::encoded_len(self) + HEADERS
+        prost::Message::encoded_len(self) + HEADER_BYTES
     }
 }
 
 /// Bytes of an IPv4 and a UDP header.
-const HEADERS: usize = 28;
+const HEADER_BYTES: usize = 28;
 
 /// An endpoint that refuses work for some time: its stage is changing, or it loses KV caches.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Shunned {
+pub struct AvoidedEndpoint {
     /// Hash of the endpoint's instance and start.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
@@ -162,7 +162,7 @@
 
 /// A call that is not sent to endpoints.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Quarantined {
+pub struct QuarantinedCall {
     /// Its digest.
     #[prost(fixed64, tag = "1")]
     pub digest: u64,
@@ -173,7 +173,7 @@
 
 /// What an endpoint has said of the calls that it takes.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct CallLimitSeen {
+pub struct CallLimitReport {
     /// Hash of the endpoint's instance and start.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
@@ -192,7 +192,7 @@
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
     /// What the word is.
-    #[prost(enumeration = "PermitWord", tag = "2")]
+    #[prost(enumeration = "PermitKind", tag = "2")]
     pub word: i32,
     /// Milliseconds: how long the sender bears to wait, or how long the receiver will.
     #[prost(uint32, tag = "3")]
@@ -201,7 +201,7 @@
 
 /// What is said of a permit.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, prost::Enumeration)]
-pub enum PermitWord {
+pub enum PermitKind {
     /// Unknown.
     Unspecified = 0,
     /// The sender asks for one.
@@ -222,12 +222,12 @@
     /// Calls in progress.
     pub calls: u32,
     /// Those of the tokens that are still to be generated.
-    pub left: u32,
+    pub tokens_left: u32,
 }
 
 /// A draft that waits for room.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct WaitingDraft {
+pub struct WaitingCompletion {
     /// Hash of the service's name.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
@@ -239,7 +239,7 @@
 /// How fast drafts of a service were generated: tokens, and the seconds that they took. Both count
 /// newer drafts more, so they also say how much the sender's word weighs.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct ServicePace {
+pub struct ServiceGenerationStats {
     /// Hash of the service's name.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
