--- a/crates/basilbank/tests/shell/peers.rs
+++ b/crates/basilbank/tests/shell/peers.rs
@@ -113,8 +113,13 @@
 #[test]
 fn datagrams_are_bounded_and_nothing_is_lost_between_them() {
     let (mut a, b) = pair();
-    let rumour =
-        basilbank_wire::Seen { vm: 9, incarnation: u64::MAX, counter: 9, leaving: true, age: 0 };
+    let rumour = basilbank_wire::MemberRecord {
+        vm: 9,
+        incarnation: u64::MAX,
+        counter: 9,
+        leaving: true,
+        age: 0,
+    };
     let beat = Heartbeat { seen: vec![rumour; 20], ..Heartbeat::default() };
     for _ in 0..10 {
         a.peers.send(b.vm, Message::from(Body::Heartbeat(beat.clone())));
--- a/crates/basilbank_core/src/naive.rs
+++ b/crates/basilbank_core/src/naive.rs
@@ -20,9 +20,9 @@
 };
 
 /// Pause before a failed request is tried again.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Time between two looks at the platform after it failed.
-const PLATFORM_PAUSE: Duration = Duration::from_millis(500);
+const PLATFORM_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A daemon that decides naively.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     /// SIGTERM came.
     pub leaving: bool,
     counter: u64,
-    turn: usize,
+    next_index: usize,
 }
 
 impl Naive {
@@ -59,7 +59,7 @@
             timers,
             leaving: false,
             counter: 0,
-            turn: local.seed as usize % 1024,
+            next_index: local.seed as usize % 1024,
             local,
         }
     }
@@ -67,10 +67,10 @@
     /// Takes one event in and pushes what is to be done about it.
     pub fn reduce(&mut self, now: Now, event: Event, out: &mut Vec<Effect>) {
         match event {
-            Event::Caller(CallerEvent::Arrived(call)) => self.arrived(now, *call, out),
-            Event::Caller(CallerEvent::Left(caller)) => self.left(now, caller, out),
-            Event::Engine(event) => self.engine(now, event, out),
-            Event::Platform(event) => self.platform(now, event, out),
+            Event::Caller(CallerEvent::Arrived(call)) => self.on_call(now, *call, out),
+            Event::Caller(CallerEvent::Left(caller)) => self.on_caller_left(now, caller, out),
+            Event::Engine(event) => self.on_engine_event(now, event, out),
+            Event::Platform(event) => self.on_platform_event(now, event, out),
             Event::Shutdown => self.leaving = true,
             Event::Tick | Event::Peer { .. } => {}
         }
@@ -79,7 +79,7 @@
                 Timer::Platform => {
                     out.push(Effect::WatchCatalogue { after: self.view.catalogue.revision });
                 }
-                Timer::Request(key) => self.start(key, out),
+                Timer::Request(key) => self.start_attempt(key, out),
                 _ => {}
             }
         }
@@ -94,7 +94,7 @@
         !self.leaving && 0 < self.view.catalogue.revision
     }
 
-    fn platform(&mut self, now: Now, event: PlatformEvent, out: &mut Vec<Effect>) {
+    fn on_platform_event(&mut self, now: Now, event: PlatformEvent, out: &mut Vec<Effect>) {
         match event {
             PlatformEvent::Documents { base_revision: after, documents, .. } if 0 < after => {
                 let seen = if documents.is_empty() { after } else { 0 };
@@ -104,17 +104,17 @@
                 out.push(Effect::CheckCatalogue { revision, documents });
             }
             PlatformEvent::Checked { revision, result } => {
-                self.checked(revision, result);
+                self.on_checked(revision, result);
                 out.push(Effect::WatchCatalogue { after: revision });
             }
             PlatformEvent::CatalogueFailed => {
-                self.timers.set(now.mono + PLATFORM_PAUSE, Timer::Platform);
+                self.timers.set(now.mono + PLATFORM_RETRY_INTERVAL, Timer::Platform);
             }
             PlatformEvent::Vms { .. } | PlatformEvent::VmsFailed => {}
         }
     }
 
-    fn checked(&mut self, revision: u64, result: Result<Arc<Catalogue>, usize>) {
+    fn on_checked(&mut self, revision: u64, result: Result<Arc<Catalogue>, usize>) {
         if let Ok(catalogue) = result
             && self.view.catalogue.revision < revision
         {
@@ -122,7 +122,7 @@
         }
     }
 
-    fn arrived(&mut self, now: Now, call: Call, out: &mut Vec<Effect>) {
+    fn on_call(&mut self, now: Now, call: Call, out: &mut Vec<Effect>) {
         let caller = call.caller;
         let (team, entry, target) = match self.authorize(&call) {
             Ok(found) => found,
@@ -141,7 +141,7 @@
         self.callers.insert(caller, key);
         out.push(Effect::Progress(Progress::Accepted { request: id, team, entry }));
         out.push(Effect::Answer { caller, answer: Answer::Accepted { request: id, entry } });
-        self.start(key, out);
+        self.start_attempt(key, out);
     }
 
     fn authorize(&self, call: &Call) -> Result<(TeamId, EntryId, EntryTarget), Refusal> {
@@ -150,8 +150,8 @@
         }
         let team = self.view.team(&call.key).ok_or(Refusal::UnknownKey)?;
         let entry = match &call.kind {
-            CallKind::Completion(draft) => {
-                self.view.completion_entry(team, &draft.model).ok_or(Refusal::UnknownModel)?
+            CallKind::Completion(completion) => {
+                self.view.completion_entry(team, &completion.model).ok_or(Refusal::UnknownModel)?
             }
             CallKind::Plain(plain) => {
                 let service = self.view.service(&plain.path).ok_or(Refusal::UnknownPath)?;
@@ -161,7 +161,7 @@
         Ok((team, entry.id, entry.target))
     }
 
-    fn engine(&mut self, now: Now, event: EngineEvent, out: &mut Vec<Effect>) {
+    fn on_engine_event(&mut self, now: Now, event: EngineEvent, out: &mut Vec<Effect>) {
         match event {
             EngineEvent::Prefilled {
                 attempt,
@@ -170,30 +170,30 @@
                 cached_tokens: cached,
                 ..
             } => {
-                self.prefilled(attempt, handle, tokens, cached, out);
+                self.on_prefilled(attempt, handle, tokens, cached, out);
             }
-            EngineEvent::Started { attempt, stream } => self.started(attempt, stream, out),
+            EngineEvent::Started { attempt, stream } => self.on_started(attempt, stream, out),
             EngineEvent::Tokens { attempt, offset, texts } => {
-                self.tokens(now, attempt, offset, texts, out);
+                self.on_tokens(now, attempt, offset, texts, out);
             }
             EngineEvent::Finished { attempt, reason, .. } => {
-                self.finished(now, attempt, reason, out);
+                self.on_finished(now, attempt, reason, out);
             }
-            EngineEvent::Answered { attempt, .. } => self.answered(now, attempt, out),
-            EngineEvent::Failed { attempt, .. } => self.failed(now, attempt, out),
+            EngineEvent::Answered { attempt, .. } => self.on_answered(now, attempt, out),
+            EngineEvent::Failed { attempt, .. } => self.on_failed(now, attempt, out),
             EngineEvent::Report { .. } => {}
         }
     }
 
     /// Tries again whatever the failure was.
-    fn failed(&mut self, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+    fn on_failed(&mut self, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
         let Some(key) = self.attempts.remove(attempt) else { return };
         let job = &mut self.jobs[key];
         job.stage = Stage::Waiting;
         if job.attempts < self.local.tuning.attempts {
-            self.timers.set(now.mono + PAUSE, Timer::Request(key));
+            self.timers.set(now.mono + RETRY_DELAY, Timer::Request(key));
             return;
         }
-        self.end(now, key, Answer::Unknown, crate::reason::Outcome::Unknown, out);
+        self.finish(now, key, Answer::Unknown, crate::reason::Outcome::Unknown, out);
     }
 }
--- a/crates/basilbank_core/src/naive/call.rs
+++ b/crates/basilbank_core/src/naive/call.rs
@@ -15,21 +15,21 @@
 
 impl Naive {
     /// Sends a request to the next endpoint in turn.
-    pub(super) fn start(&mut self, key: RequestKey, out: &mut Vec<Effect>) {
+    pub(super) fn start_attempt(&mut self, key: RequestKey, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(key) else { return };
         let role = match job.target {
             EntryTarget::Model(_) => Role::Prefill,
             EntryTarget::Service(_) => Role::Plain,
         };
-        let Some(endpoint) = self.next(job.target, role) else {
-            return self.refuse(key, Refusal::NoEndpoint, out);
+        let Some(endpoint) = self.next_endpoint(job.target, role) else {
+            return self.refuse_job(key, Refusal::NoEndpoint, out);
         };
         let attempt = self.attempts.insert(key);
         let job = &mut self.jobs[key];
         job.attempts += 1;
         job.stage = Stage::Running(attempt, endpoint);
         let (caller, request) = (job.caller, job.id);
-        let resume = job.draft.as_ref().and_then(|d| d.resume.clone());
+        let resume = job.completion.as_ref().and_then(|d| d.resume.clone());
         let call = match (resume, role) {
             (Some(resume), _) => EngineCall::Resume {
                 attempt,
@@ -42,18 +42,18 @@
             (None, Role::Plain) => {
                 EngineCall::Plain { attempt, caller, request, endpoint, timeout: CALL_TIMEOUT }
             }
-            (None, _) => EngineCall::Prefill(self.draft_call(key, attempt, endpoint)),
+            (None, _) => EngineCall::Prefill(self.completion_call(key, attempt, endpoint)),
         };
         out.push(Effect::Engine(call));
     }
 
-    fn next(&mut self, target: EntryTarget, role: Role) -> Option<EndpointId> {
+    fn next_endpoint(&mut self, target: EntryTarget, role: Role) -> Option<EndpointId> {
         let all = self.view.serving(target, role);
-        self.turn += 1;
-        all.get(self.turn.checked_rem(all.len())?).copied()
+        self.next_index += 1;
+        all.get(self.next_index.checked_rem(all.len())?).copied()
     }
 
-    fn draft_call(
+    fn completion_call(
         &self,
         key: RequestKey,
         attempt: AttemptKey,
@@ -68,13 +68,13 @@
             attempt_number: job.attempts - 1,
             endpoint,
             delivered: 0,
-            remaining: job.draft.as_ref().map_or(0, |d| d.max_tokens),
+            remaining: job.completion.as_ref().map_or(0, |d| d.max_tokens),
             priority: class.map_or(0, |c| c.priority),
             timeout: CALL_TIMEOUT,
         }
     }
 
-    pub(super) fn prefilled(
+    pub(super) fn on_prefilled(
         &mut self,
         attempt: AttemptKey,
         handle: String,
@@ -84,27 +84,33 @@
     ) {
         let Some(key) = self.attempts.get(attempt).copied() else { return };
         let job = &mut self.jobs[key];
-        job.prompt = tokens;
-        job.cached = cached;
+        job.prompt_tokens = tokens;
+        job.cached_tokens = cached;
         let (target, Stage::Running(_, source)) = (job.target, job.stage) else { return };
-        let Some(endpoint) = self.next(target, Role::Decode) else {
-            return self.refuse(key, Refusal::NoEndpoint, out);
+        let Some(endpoint) = self.next_endpoint(target, Role::Decode) else {
+            return self.refuse_job(key, Refusal::NoEndpoint, out);
         };
         self.jobs[key].stage = Stage::Running(attempt, endpoint);
-        let draft = self.draft_call(key, attempt, endpoint);
-        out.push(Effect::Engine(EngineCall::Decode { call: draft, source, handle }));
+        let call = self.completion_call(key, attempt, endpoint);
+        out.push(Effect::Engine(EngineCall::Decode { call, source, handle }));
     }
 
-    pub(super) fn started(&mut self, attempt: AttemptKey, stream: String, out: &mut Vec<Effect>) {
+    pub(super) fn on_started(
+        &mut self,
+        attempt: AttemptKey,
+        stream: String,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(key) = self.attempts.get(attempt).copied() else { return };
         let job = &self.jobs[key];
         let Stage::Running(_, endpoint) = job.stage else { return };
-        let offset = job.draft.as_ref().and_then(|d| d.resume.as_ref()).map_or(0, |r| r.offset);
+        let offset =
+            job.completion.as_ref().and_then(|d| d.resume.as_ref()).map_or(0, |r| r.offset);
         let answer = Answer::Located { endpoint, stream, base_offset: offset.into() };
         out.push(Effect::Answer { caller: job.caller, answer });
     }
 
-    pub(super) fn tokens(
+    pub(super) fn on_tokens(
         &mut self,
         now: Now,
         attempt: AttemptKey,
@@ -114,15 +120,15 @@
     ) {
         let Some(key) = self.attempts.get(attempt).copied() else { return };
         let job = &mut self.jobs[key];
-        let start = job.draft.as_ref().and_then(|d| d.resume.as_ref()).map_or(0, |r| r.offset);
+        let start = job.completion.as_ref().and_then(|d| d.resume.as_ref()).map_or(0, |r| r.offset);
         let known = (start + job.delivered).saturating_sub(offset) as usize;
         let texts: Vec<_> = texts.into_iter().skip(known).collect();
         if texts.is_empty() {
             return;
         }
-        if job.first.is_none() {
-            job.first = Some(now.mono);
-            let ttft = now.mono - job.accepted;
+        if job.first_token_at.is_none() {
+            job.first_token_at = Some(now.mono);
+            let ttft = now.mono - job.accepted_at;
             let progress = Progress::FirstToken { request: job.id, entry: job.entry, ttft };
             out.push(Effect::Progress(progress));
         }
@@ -132,7 +138,7 @@
         out.push(Effect::Answer { caller: job.caller, answer });
     }
 
-    pub(super) fn finished(
+    pub(super) fn on_finished(
         &mut self,
         now: Now,
         attempt: AttemptKey,
@@ -141,22 +147,22 @@
     ) {
         let Some(key) = self.attempts.get(attempt).copied() else { return };
         let job = &self.jobs[key];
-        let (prompt, cached, generated) = (job.prompt, job.cached, job.delivered);
+        let (prompt, cached, generated) = (job.prompt_tokens, job.cached_tokens, job.delivered);
         let answer = Answer::Done {
             reason,
             prompt_tokens: prompt,
             cached_tokens: cached,
             generated_tokens: generated,
         };
-        self.end(now, key, answer, Outcome::Done, out);
+        self.finish(now, key, answer, Outcome::Done, out);
     }
 
-    pub(super) fn answered(&mut self, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
+    pub(super) fn on_answered(&mut self, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
         let Some(key) = self.attempts.get(attempt).copied() else { return };
-        self.end(now, key, Answer::Plain { attempt }, Outcome::Done, out);
+        self.finish(now, key, Answer::Plain { attempt }, Outcome::Done, out);
     }
 
-    pub(super) fn left(&mut self, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
+    pub(super) fn on_caller_left(&mut self, now: Now, caller: CallerId, out: &mut Vec<Effect>) {
         let Some(key) = self.callers.get(&caller).copied() else { return };
         let job = &self.jobs[key];
         if let Stage::Running(attempt, endpoint) = job.stage {
@@ -164,19 +170,19 @@
             let call = EngineCall::Cancel { attempt, endpoint, request, resource: None };
             out.push(Effect::Engine(call));
         }
-        self.settle(now, key, Outcome::Abandoned, out);
+        self.settle_job(now, key, Outcome::Abandoned, out);
     }
 
-    fn refuse(&mut self, key: RequestKey, refusal: Refusal, out: &mut Vec<Effect>) {
+    fn refuse_job(&mut self, key: RequestKey, refusal: Refusal, out: &mut Vec<Effect>) {
         let job = &self.jobs[key];
         let (request, team) = (Some(job.id), Some(job.team));
         out.push(Effect::Progress(Progress::Refused { request, team, refusal }));
         let answer = Answer::Refused { refusal, retry_after: None };
         out.push(Effect::Answer { caller: job.caller, answer });
-        self.forget(key);
+        self.remove_job(key);
     }
 
-    pub(super) fn end(
+    pub(super) fn finish(
         &mut self,
         now: Now,
         key: RequestKey,
@@ -186,25 +192,25 @@
     ) {
         let caller = self.jobs[key].caller;
         out.push(Effect::Answer { caller, answer });
-        self.settle(now, key, outcome, out);
+        self.settle_job(now, key, outcome, out);
     }
 
-    fn settle(&mut self, now: Now, key: RequestKey, outcome: Outcome, out: &mut Vec<Effect>) {
+    fn settle_job(&mut self, now: Now, key: RequestKey, outcome: Outcome, out: &mut Vec<Effect>) {
         let job = &self.jobs[key];
         out.push(Effect::Progress(Progress::Settled {
             request: job.id,
             team: job.team,
             entry: job.entry,
             outcome,
-            duration: now.mono - job.accepted,
-            prompt_tokens: job.prompt,
+            duration: now.mono - job.accepted_at,
+            prompt_tokens: job.prompt_tokens,
             generated_tokens: job.delivered,
             tbt: Duration::ZERO,
         }));
-        self.forget(key);
+        self.remove_job(key);
     }
 
-    fn forget(&mut self, key: RequestKey) {
+    fn remove_job(&mut self, key: RequestKey) {
         let Some(job) = self.jobs.remove(key) else { return };
         self.callers.remove(&job.caller);
         if let Stage::Running(attempt, _) = job.stage {
--- a/crates/basilbank_core/src/naive/job.rs
+++ b/crates/basilbank_core/src/naive/job.rs
@@ -22,19 +22,19 @@
     /// What it needs.
     pub target: EntryTarget,
     /// The draft; `None` for a plain call.
-    pub draft: Option<Completion>,
+    pub completion: Option<Completion>,
     /// When it was accepted.
-    pub accepted: Duration,
+    pub accepted_at: Duration,
     /// Attempts so far.
     pub attempts: u32,
     /// Tokens delivered.
     pub delivered: u32,
     /// Prompt tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Prompt tokens from the prefix cache.
-    pub cached: u32,
+    pub cached_tokens: u32,
     /// When the first token went out.
-    pub first: Option<Duration>,
+    pub first_token_at: Option<Duration>,
     /// What it is doing.
     pub stage: Stage,
 }
@@ -57,10 +57,10 @@
         team: TeamId,
         entry: EntryId,
         target: EntryTarget,
-        accepted: Duration,
+        accepted_at: Duration,
     ) -> Job {
-        let draft = match call.kind {
-            CallKind::Completion(draft) => Some(draft),
+        let completion = match call.kind {
+            CallKind::Completion(completion) => Some(completion),
             CallKind::Plain(_) => None,
         };
         Job {
@@ -69,13 +69,13 @@
             team,
             entry,
             target,
-            draft,
-            accepted,
+            completion,
+            accepted_at,
             attempts: 0,
             delivered: 0,
-            prompt: 0,
-            cached: 0,
-            first: None,
+            prompt_tokens: 0,
+            cached_tokens: 0,
+            first_token_at: None,
             stage: Stage::Waiting,
         }
     }
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use basilbank_wire::{Heartbeat, Seen};
+use basilbank_wire::{Heartbeat, MemberRecord};
 
 pub use self::gossip::push;
 use crate::{
@@ -126,7 +126,7 @@
 }
 
 /// Applies a peer's record of a member that the peer has been in contact with.
-fn apply_record(state: &mut State, now: Now, seen: &Seen, out: &mut Vec<Effect>) {
+fn apply_record(state: &mut State, now: Now, seen: &MemberRecord, out: &mut Vec<Effect>) {
     let vm = VmId(seen.vm);
     if vm == state.local.vm {
         check_superseded(state, seen, out);
@@ -247,7 +247,7 @@
 /// Reports that peers know a higher incarnation of this VM: another process has its name, or the
 /// VM's clock went back across a restart. Peers drop all messages of this daemon; only an operator
 /// can repair it.
-fn check_superseded(state: &State, seen: &Seen, out: &mut Vec<Effect>) {
+fn check_superseded(state: &State, seen: &MemberRecord, out: &mut Vec<Effect>) {
     if state.local.incarnation < seen.incarnation {
         note(out, "incarnation_superseded", vec![("incarnation", seen.incarnation.to_string())]);
     }
--- a/crates/basilbank_core/src/reduce/member/gossip.rs
+++ b/crates/basilbank_core/src/reduce/member/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use basilbank_wire::{Body, Heartbeat, Seen};
+use basilbank_wire::{Body, Heartbeat, MemberRecord};
 
 use super::summary;
 use crate::{
@@ -194,7 +194,7 @@
 
 /// Adds full records: first those of changed members, least often sent first, then those of members
 /// whose summary would be ambiguous.
-fn add_full_records(members: &mut Members, now: Now, records: &mut Vec<Seen>) {
+fn add_full_records(members: &mut Members, now: Now, records: &mut Vec<MemberRecord>) {
     let own = members.own;
     let pending = members.all.iter().filter(|(vm, m)| **vm != own && 0 < m.record_sends && m.live);
     let mut pending: Vec<_> =
@@ -223,9 +223,9 @@
         || members.candidates().iter().all(|vm| *vm == members.own)
 }
 
-fn full_record(vm: VmId, member: &Member, now: Now) -> Option<Seen> {
+fn full_record(vm: VmId, member: &Member, now: Now) -> Option<MemberRecord> {
     let age = now.mono.saturating_sub(member.last_seen?).as_millis();
-    (member.incarnation != 0).then_some(Seen {
+    (member.incarnation != 0).then_some(MemberRecord {
         vm: vm.0,
         incarnation: member.incarnation,
         counter: member.heartbeat_counter,
--- a/crates/basilbank_core/src/state/claims/own_claim.rs
+++ b/crates/basilbank_core/src/state/claims/own_claim.rs
@@ -169,12 +169,12 @@
         if self.quorum() <= granted {
             return ClaimStatus::Won;
         }
-        let silent = self.count_votes(None);
-        let contended = self.count_votes(Some(Verdict::Running));
-        if granted + silent + contended < self.quorum() {
+        let unanswered = self.count_votes(None);
+        let held_by_others = self.count_votes(Some(Verdict::Running));
+        if granted + unanswered + held_by_others < self.quorum() {
             return ClaimStatus::Lost(self.competing_record());
         }
-        let is_split = contended != 0 && (silent == 0 || waited == VoteWait::TimedOut);
+        let is_split = held_by_others != 0 && (unanswered == 0 || waited == VoteWait::TimedOut);
         if is_split && !self.has_first_vote() {
             return ClaimStatus::Lost(self.competing_record());
         }
@@ -191,11 +191,11 @@
         let records = || self.voters.iter().filter_map(|b| b.record.as_ref());
         let ended = records().find(|r| r.outcome != 0);
         let streamed = || records().find(|r| !r.stream.is_empty());
-        let elected = || {
+        let by_majority = || {
             let votes = |r: &KeyRecord| records().filter(|o| o.request == r.request).count();
             records().find(|r| self.quorum() <= votes(r))
         };
-        ended.or_else(streamed).or_else(elected).cloned()
+        ended.or_else(streamed).or_else(by_majority).cloned()
     }
 
     /// Forgets all votes: the voters are to be asked anew.
--- a/crates/basilbank_core/src/state/documents/accepted.rs
+++ b/crates/basilbank_core/src/state/documents/accepted.rs
@@ -40,8 +40,8 @@
 
 impl AcceptedDocuments {
     /// The newest documents changed; `former` are the versions before.
-    pub fn record_changes(&mut self, former: BTreeMap<String, Option<Document>>) {
-        for (key, document) in former {
+    pub fn record_changes(&mut self, previous: BTreeMap<String, Option<Document>>) {
+        for (key, document) in previous {
             if self.check.is_some() {
                 self.during_check.entry(key.clone()).or_insert_with(|| document.clone());
             }
@@ -92,13 +92,13 @@
 
 fn differences(store: &DocumentStore, accepted: &[Document]) -> BTreeMap<String, Option<Document>> {
     let newest = store.all();
-    let mut former: BTreeMap<_, _> = newest.iter().map(|d| (d.key.clone(), None)).collect();
+    let mut previous: BTreeMap<_, _> = newest.iter().map(|d| (d.key.clone(), None)).collect();
     for document in accepted {
         if store.get(&document.key) == Some(document) {
-            former.remove(&document.key);
+            previous.remove(&document.key);
         } else {
-            former.insert(document.key.clone(), Some(document.clone()));
+            previous.insert(document.key.clone(), Some(document.clone()));
         }
     }
-    former
+    previous
 }
--- a/crates/basilbank_core/src/state/documents/fetch.rs
+++ b/crates/basilbank_core/src/state/documents/fetch.rs
@@ -37,12 +37,12 @@
 impl AdvertisedRevisions {
     /// What one peer's heartbeat shows.
     #[must_use]
-    pub fn from_heartbeat(from: VmId, beat: &Heartbeat) -> AdvertisedRevisions {
+    pub fn from_heartbeat(from: VmId, heartbeat: &Heartbeat) -> AdvertisedRevisions {
         let offer = |revision| AdvertisedRevision { revision, from };
         AdvertisedRevisions {
-            catalogue: offer(beat.catalogue),
-            documents: offer(beat.documents),
-            vms: offer(beat.vms),
+            catalogue: offer(heartbeat.catalogue),
+            documents: offer(heartbeat.documents),
+            vms: offer(heartbeat.vms),
         }
     }
 
--- a/crates/basilbank_core/src/state/documents/reader.rs
+++ b/crates/basilbank_core/src/state/documents/reader.rs
@@ -16,8 +16,8 @@
 impl PlatformReader {
     /// Whether a read may begin. One that was never answered is given up after `lost`.
     #[must_use]
-    pub fn is_due(&self, mono: Duration, lost: Duration) -> bool {
-        let idle = self.pending_since.is_none_or(|since| lost <= mono.saturating_sub(since));
+    pub fn is_due(&self, mono: Duration, timeout: Duration) -> bool {
+        let idle = self.pending_since.is_none_or(|since| timeout <= mono.saturating_sub(since));
         idle && self.next_at <= mono
     }
 
--- a/crates/basilbank_core/src/state/documents/store.rs
+++ b/crates/basilbank_core/src/state/documents/store.rs
@@ -44,20 +44,20 @@
         if self.revision < after {
             return ApplyResult::Gap;
         }
-        let mut former = BTreeMap::new();
+        let mut previous = BTreeMap::new();
         if after == 0 {
-            self.remove_missing(&documents, revision, &mut former);
+            self.remove_missing(&documents, revision, &mut previous);
         }
         if self.revision == 0 {
             // Nothing is known of what was removed before.
             self.history_start = revision;
         }
         for document in documents {
-            self.put(document, &mut former);
+            self.put(document, &mut previous);
         }
         self.revision = revision;
         self.prune_tombstones();
-        ApplyResult::Changed(former)
+        ApplyResult::Changed(previous)
     }
 
     /// What leads from a revision to this one. The whole if removals since then are forgotten.
@@ -93,17 +93,17 @@
         &mut self,
         kept: &[Document],
         revision: u64,
-        former: &mut BTreeMap<String, Option<Document>>,
+        previous: &mut BTreeMap<String, Option<Document>>,
     ) {
         let kept: std::collections::HashSet<_> = kept.iter().map(|d| d.key.as_str()).collect();
-        let gone = self.documents.values().filter(|d| d.text.is_some());
-        let gone = gone.filter(|d| !kept.contains(d.key.as_str())).map(|d| d.key.clone());
-        for key in gone.collect::<Vec<_>>() {
-            self.put(Document { key, text: None, revision }, former);
+        let removed = self.documents.values().filter(|d| d.text.is_some());
+        let removed = removed.filter(|d| !kept.contains(d.key.as_str())).map(|d| d.key.clone());
+        for key in removed.collect::<Vec<_>>() {
+            self.put(Document { key, text: None, revision }, previous);
         }
     }
 
-    fn put(&mut self, document: Document, former: &mut BTreeMap<String, Option<Document>>) {
+    fn put(&mut self, document: Document, previous: &mut BTreeMap<String, Option<Document>>) {
         let known = self.documents.get(&document.key);
         if known.is_some_and(|k| document.revision <= k.revision) {
             return;
@@ -113,7 +113,7 @@
         self.tombstones += usize::from(document.text.is_none());
         let key = document.key.clone();
         let old = self.documents.insert(key.clone(), document);
-        former.entry(key).or_insert(old.filter(|d| d.text.is_some()));
+        previous.entry(key).or_insert(old.filter(|d| d.text.is_some()));
     }
 
     /// Forgets the removals that are longest ago when there are too many.
--- a/crates/basilbank_core/src/state/ledger.rs
+++ b/crates/basilbank_core/src/state/ledger.rs
@@ -241,15 +241,21 @@
 
     /// Notes a stalled transfer. Whether the endpoint should rest: transfers have stalled with several
     /// others, for several daemons unless there are few.
-    pub fn record_stall(&mut self, now: Duration, vm: VmId, other: EndpointId, few: bool) -> bool {
+    pub fn record_stall(
+        &mut self,
+        now: Duration,
+        vm: VmId,
+        other: EndpointId,
+        is_small_fleet: bool,
+    ) -> bool {
         self.stalls.retain(|(at, _, _)| now < *at + STALL_WINDOW);
         self.stalls.push((now, vm, other));
-        let rests = self.stalls.iter().any(|(_, _, o)| *o != other)
-            && (few || self.stalls.iter().any(|(_, v, _)| *v != vm));
-        if rests {
+        let should_exclude = self.stalls.iter().any(|(_, _, o)| *o != other)
+            && (is_small_fleet || self.stalls.iter().any(|(_, v, _)| *v != vm));
+        if should_exclude {
             self.stalls.clear();
         }
-        rests
+        should_exclude
     }
 
     /// Computing that a prefill takes.
@@ -267,10 +273,11 @@
     /// A lease may end unused, as its request got another slot first, or earlier than was thought.
     /// Were its time still counted, the endpoint would be given nothing for as long and lie idle.
     fn recompute_busy(&mut self, now: Duration) {
-        let mut left: Vec<_> = self.leases.values().map(|l| (l.granted_at, l.done_at, l)).collect();
-        left.sort_unstable_by_key(|(since, done, _)| (*since, *done));
+        let mut remaining: Vec<_> =
+            self.leases.values().map(|l| (l.granted_at, l.done_at, l)).collect();
+        remaining.sort_unstable_by_key(|(since, done, _)| (*since, *done));
         let (mut busy, mut link_busy) = (now, now);
-        for (_, done, lease) in left {
+        for (_, done, lease) in remaining {
             busy += self.prefill_time(lease).min(done.saturating_sub(now));
             link_busy = link_busy.max(busy) + self.transfer_time(lease);
         }
--- a/crates/basilbank_core/src/state/limits/portion.rs
+++ b/crates/basilbank_core/src/state/limits/portion.rs
@@ -51,19 +51,19 @@
     }
 
     /// Whether the portion is at least so much.
-    pub fn is_worthwhile(&self, least: f64) -> bool {
-        self.limit <= 0.0 || least <= self.fair_size().min(self.max_lease)
+    pub fn is_worthwhile(&self, min_size: f64) -> bool {
+        self.limit <= 0.0 || min_size <= self.fair_size().min(self.max_lease)
     }
 
     /// In proportion to demand when there is too little for all. Else each gets what it wants, and
     /// what is left is split: half of it in proportion to demand, half of it evenly, since calls do
     /// not come as evenly as they are measured.
     fn fair_size(&self) -> f64 {
-        let whole = self.limit * (1.0 - SPARE_FRACTION);
+        let leasable = self.limit * (1.0 - SPARE_FRACTION);
         let share = if self.wanted <= 0.0 { 1.0 } else { (self.demand / self.wanted).min(1.0) };
-        let slack = whole - self.wanted;
+        let slack = leasable - self.wanted;
         if slack <= 0.0 {
-            return whole * share;
+            return leasable * share;
         }
         self.demand + slack * (share + self.equal_fraction) / 2.0
     }
--- a/crates/basilbank_core/src/state/limits/shared.rs
+++ b/crates/basilbank_core/src/state/limits/shared.rs
@@ -104,7 +104,7 @@
         self.holders.retain(|h| {
             mono < h.reported_at + REPORT_RETENTION && (0 < h.running || mono < h.lease_until)
         });
-        let place = self.holders.iter().position(|h| h.vm == vm).unwrap_or_else(|| {
+        let index = self.holders.iter().position(|h| h.vm == vm).unwrap_or_else(|| {
             let (share, until) = (LimitShare::default(), Duration::ZERO);
             self.holders.push(Holder {
                 vm,
@@ -116,7 +116,7 @@
             });
             self.holders.len() - 1
         });
-        let holder = &mut self.holders[place];
+        let holder = &mut self.holders[index];
         // Daemons ask when they have just had more calls than usual, so what they say is too high.
         let is_renewal = mono < holder.lease_until && holder.demand.wants_lease();
         holder.demand = if is_renewal { holder.demand.average_with(&demand) } else { demand };
@@ -254,38 +254,38 @@
         let wanted = self.wanted(Some(vm), mono);
         let taken = self.leased(Some(vm), mono);
         let committed = self.committed(Some(vm), mono);
-        let even = 1.0 / (self.holders.len() + 1) as f64;
+        let equal_fraction = 1.0 / (self.holders.len() + 1) as f64;
         let holder = self.holders.iter_mut().find(|h| h.vm == vm)?;
         holder.lease_until = Duration::ZERO;
         let demand = holder.demand;
-        let most = |of: fn(&LimitShare) -> f64| max_lease.map_or(f64::MAX, of);
+        let max_of = |of: fn(&LimitShare) -> f64| max_lease.map_or(f64::MAX, of);
         Some(Portions {
             requests: Portion {
                 limit: limits.requests,
                 demand: demand.requests,
                 wanted: wanted.requests,
                 leased: taken.requests,
-                equal_fraction: even,
+                equal_fraction,
                 per_vm: per_vm.requests,
-                max_lease: most(|m| m.requests),
+                max_lease: max_of(|m| m.requests),
             },
             tokens: Portion {
                 limit: limits.tokens,
                 demand: demand.tokens,
                 wanted: wanted.tokens,
                 leased: taken.tokens,
-                equal_fraction: even,
+                equal_fraction,
                 per_vm: per_vm.tokens,
-                max_lease: most(|m| m.tokens),
+                max_lease: max_of(|m| m.tokens),
             },
             slots: Portion {
                 limit: f64::from(limits.concurrent),
                 demand: f64::from(demand.concurrent),
                 wanted: wanted.concurrent,
                 leased: committed,
-                equal_fraction: even,
+                equal_fraction,
                 per_vm: f64::from(per_vm.concurrent),
-                max_lease: most(|m| f64::from(m.concurrent)),
+                max_lease: max_of(|m| f64::from(m.concurrent)),
             },
         })
     }
@@ -313,14 +313,14 @@
 
     /// What is wanted by those with leases, by `but` without one perhaps, and by those whose calls
     /// are taken one by one.
-    fn wanted(&self, but: Option<VmId>, mono: Duration) -> Total {
+    fn wanted(&self, include: Option<VmId>, mono: Duration) -> Total {
         let mut total = Total {
             requests: self.sparse_requests.rate(mono),
             tokens: self.sparse_tokens.rate(mono),
             concurrent: 0.0,
         };
         for holder in &self.holders {
-            let has_lease = mono < holder.lease_until || Some(holder.vm) == but;
+            let has_lease = mono < holder.lease_until || Some(holder.vm) == include;
             let demand = if has_lease { holder.demand } else { LimitDemand::default() };
             total.requests += demand.requests;
             total.tokens += demand.tokens;
@@ -329,9 +329,9 @@
         total
     }
 
-    fn leased(&self, but: Option<VmId>, mono: Duration) -> Total {
+    fn leased(&self, except: Option<VmId>, mono: Duration) -> Total {
         let mut total = Total::default();
-        for holder in self.holders.iter().filter(|h| Some(h.vm) != but && mono < h.lease_until) {
+        for holder in self.holders.iter().filter(|h| Some(h.vm) != except && mono < h.lease_until) {
             total.requests += holder.share.requests;
             total.tokens += holder.share.tokens;
         }
@@ -339,8 +339,8 @@
     }
 
     /// Requests that are in progress or may be started by lease.
-    fn committed(&self, but: Option<VmId>, mono: Duration) -> f64 {
-        let others = self.holders.iter().filter(|h| Some(h.vm) != but);
+    fn committed(&self, except: Option<VmId>, mono: Duration) -> f64 {
+        let others = self.holders.iter().filter(|h| Some(h.vm) != except);
         let each = others.map(|h| {
             let may_start = if mono < h.lease_until { h.share.concurrent } else { 0 };
             h.running.max(may_start)
--- a/crates/basilbank_core/src/state/limits/usage.rs
+++ b/crates/basilbank_core/src/state/limits/usage.rs
@@ -208,12 +208,12 @@
     }
 
     fn fill(&mut self, share: &LimitShare, mono: Duration) {
-        let least = match (self.rationed_at, self.lease) {
+        let min_burst = match (self.rationed_at, self.lease) {
             (Some(_), _) => MAX_SAVED_REQUESTS.max(share.requests * MAX_SAVED_SECONDS),
             (None, Some(_)) => MIN_LEASE_BURST,
             (None, None) => 1.0,
         };
-        self.requests.fill(share.requests, burst(share.requests).max(least), mono);
+        self.requests.fill(share.requests, burst(share.requests).max(min_burst), mono);
         self.tokens.fill(share.tokens, burst(share.tokens), mono);
     }
 }
--- a/crates/basilbank_core/src/state/members.rs
+++ b/crates/basilbank_core/src/state/members.rs
@@ -137,7 +137,7 @@
             return Some(Duration::ZERO);
         }
         let member = self.all.get(&vm).or_else(|| self.departed.get(vm))?;
-        member.last_seen.map(|heard| self.own_status.last_event.saturating_sub(heard))
+        member.last_seen.map(|seen| self.own_status.last_event.saturating_sub(seen))
     }
 
     /// The VMs that vote on a key: those that rank highest on the platform's list, heard or not, so
@@ -176,21 +176,21 @@
     /// Counts the members that may decide, and those of them for which `heard` holds. This daemon's
     /// own is always heard.
     #[must_use]
-    pub fn count_members(&self, heard: impl Fn(&Member) -> bool) -> MemberCount {
-        let mut census = MemberCount::default();
+    pub fn count_members(&self, is_in_contact: impl Fn(&Member) -> bool) -> MemberCount {
+        let mut count = MemberCount::default();
         for (vm, member) in self.all.iter().filter(|(_, m)| !m.is_leaving()) {
-            census.total += 1;
-            census.in_contact += usize::from(*vm == self.own || heard(member));
+            count.total += 1;
+            count.in_contact += usize::from(*vm == self.own || is_in_contact(member));
         }
-        census
+        count
     }
 
     /// Moves the times of last news on by a pause, in which nothing could be heard.
-    pub fn shift_times(&mut self, gap: Duration) {
+    pub fn shift_times(&mut self, pause: Duration) {
         for member in self.all.values_mut() {
-            member.last_seen = member.last_seen.map(|heard| heard + gap);
+            member.last_seen = member.last_seen.map(|seen| seen + pause);
         }
-        self.departed.shift_times(gap);
+        self.departed.shift_times(pause);
     }
 
     /// Whether a message of this incarnation is current: none with a higher one was seen.
--- a/crates/basilbank_core/src/state/members/departed.rs
+++ b/crates/basilbank_core/src/state/members/departed.rs
@@ -36,14 +36,14 @@
 
     /// Forgets one that came back.
     pub fn take(&mut self, vm: VmId) -> Option<Member> {
-        let place = self.vms.iter().position(|(other, _)| *other == vm)?;
-        self.vms.remove(place).map(|(_, member)| member)
+        let index = self.vms.iter().position(|(other, _)| *other == vm)?;
+        self.vms.remove(index).map(|(_, member)| member)
     }
 
     /// Moves the times of last news on by a pause.
-    pub fn shift_times(&mut self, gap: Duration) {
+    pub fn shift_times(&mut self, pause: Duration) {
         for (_, member) in &mut self.vms {
-            member.last_seen = member.last_seen.map(|heard| heard + gap);
+            member.last_seen = member.last_seen.map(|seen| seen + pause);
         }
     }
 }
--- a/crates/basilbank_core/src/state/members/owner_cache.rs
+++ b/crates/basilbank_core/src/state/members/owner_cache.rs
@@ -39,13 +39,13 @@
         epoch: u64,
         find: impl FnOnce() -> Option<VmId>,
     ) -> Option<VmId> {
-        let place = &self.entries[subject as usize % CACHE_SIZE];
-        let known = place.get();
-        if known.subject == subject && known.epoch == epoch {
-            return Some(known.vm);
+        let entry = &self.entries[subject as usize % CACHE_SIZE];
+        let cached = entry.get();
+        if cached.subject == subject && cached.epoch == epoch {
+            return Some(cached.vm);
         }
         let vm = find()?;
-        place.set(CachedOwner { subject, epoch, vm });
+        entry.set(CachedOwner { subject, epoch, vm });
         Some(vm)
     }
 }
--- a/crates/basilbank_core/src/state/members/rank.rs
+++ b/crates/basilbank_core/src/state/members/rank.rs
@@ -25,9 +25,9 @@
     let mut best: Vec<(Reverse<u64>, VmId)> = Vec::with_capacity(N + 1);
     for vm in vms {
         let ranked = (Reverse(rank(vm, subject)), vm);
-        let place = best.partition_point(|other| *other < ranked);
-        if place < N {
-            best.insert(place, ranked);
+        let position = best.partition_point(|other| *other < ranked);
+        if position < N {
+            best.insert(position, ranked);
             best.truncate(N);
         }
     }
--- a/crates/basilbank_core/src/state/prefix_index.rs
+++ b/crates/basilbank_core/src/state/prefix_index.rs
@@ -57,9 +57,9 @@
         self.drop_holder(block, |h| h.endpoint == endpoint);
     }
 
-    fn drop_holder(&mut self, block: u64, is_it: impl Fn(Holder) -> bool) {
+    fn drop_holder(&mut self, block: u64, matches: impl Fn(Holder) -> bool) {
         let Some(holders) = self.holders.get_mut(&block) else { return };
-        holders.retain(|h| !is_it(*h));
+        holders.retain(|h| !matches(*h));
         if holders.is_empty() {
             self.holders.remove(&block);
         }
--- a/crates/basilbank_core/src/state/requests.rs
+++ b/crates/basilbank_core/src/state/requests.rs
@@ -166,9 +166,9 @@
         let request = &mut self.arena[attempt.request];
         attempt.number = request.attempts;
         request.attempts += 1;
-        let owner = attempt.request;
+        let request_key = attempt.request;
         let key = self.attempts.insert(attempt);
-        self.arena[owner].stage = RequestStage::Running(key);
+        self.arena[request_key].stage = RequestStage::Running(key);
         key
     }
 
@@ -176,10 +176,10 @@
     ///
     /// What endpoints sent meanwhile is still to be read. Without this a stream that never stopped
     /// would count as silent and be read again, perhaps away from a daemon that has taken it over.
-    pub fn shift_times(&mut self, gap: Duration) {
+    pub fn shift_times(&mut self, pause: Duration) {
         for attempt in self.attempts.values_mut() {
-            attempt.stage_since += gap;
-            attempt.last_progress += gap;
+            attempt.stage_since += pause;
+            attempt.last_progress += pause;
         }
     }
 
--- a/crates/basilbank_core/src/state/wait_queue.rs
+++ b/crates/basilbank_core/src/state/wait_queue.rs
@@ -91,16 +91,16 @@
         };
         let order = (at, sequence);
         self.positions.insert(waiter.key, (waiter.entry, group, order));
-        let line = self.queues.entry(waiter.entry).or_default();
-        line.groups[group as usize].insert(order, waiter);
+        let queue = self.queues.entry(waiter.entry).or_default();
+        queue.groups[group as usize].insert(order, waiter);
     }
 
     /// Takes a reservation out.
     pub fn remove(&mut self, key: SlotKey) -> Option<Waiter> {
         let (entry, group, order) = self.positions.remove(&key)?;
-        let line = self.queues.get_mut(&entry)?;
-        let waiter = line.groups[group as usize].remove(&order);
-        if line.is_empty() {
+        let queue = self.queues.get_mut(&entry)?;
+        let waiter = queue.groups[group as usize].remove(&order);
+        if queue.is_empty() {
             self.queues.remove(&entry);
         }
         waiter
@@ -110,13 +110,13 @@
     /// and how many of the entry's own are ahead.
     pub fn remove_matching(
         &mut self,
-        is_it: impl Fn(&WaitQueue, &Waiter, Group, usize) -> bool,
+        matches: impl Fn(&WaitQueue, &Waiter, Group, usize) -> bool,
     ) -> Vec<Waiter> {
         let mut keys = Vec::new();
-        for line in self.queues.values() {
+        for queue in self.queues.values() {
             let mut ahead = 0;
-            for (group, waiter) in line.iter() {
-                if is_it(self, waiter, group, ahead) {
+            for (group, waiter) in queue.iter() {
+                if matches(self, waiter, group, ahead) {
                     keys.push(waiter.key);
                 } else {
                     ahead += 1;
@@ -129,9 +129,9 @@
     /// Puts those whose target has passed behind the others of their entries.
     pub fn demote_late(&mut self, now: Duration) {
         let mut late = Vec::new();
-        for line in self.queues.values() {
+        for queue in self.queues.values() {
             for group in [Group::Cached, Group::InTime] {
-                let passed = line.groups[group as usize].range(..(now, 0));
+                let passed = queue.groups[group as usize].range(..(now, 0));
                 late.extend(passed.map(|(order, waiter)| (waiter.key, order.1)));
             }
         }
@@ -144,17 +144,17 @@
 
     /// The entries that wait.
     pub fn queues(&self) -> impl Iterator<Item = (EntryId, &EntryQueue)> {
-        self.queues.iter().map(|(entry, line)| (*entry, line))
+        self.queues.iter().map(|(entry, queue)| (*entry, queue))
     }
 
     /// How many of its own entry's a reservation would have ahead of it, and its group.
     #[must_use]
     pub fn position(&self, key: SlotKey) -> Option<(Group, usize)> {
         let (entry, group, order) = self.positions.get(&key)?;
-        let line = self.queues.get(entry)?;
-        let before: usize = line.groups[..*group as usize].iter().map(BTreeMap::len).sum();
-        let own = line.groups[*group as usize].range(..*order).count();
-        Some((*group, before + own))
+        let queue = self.queues.get(entry)?;
+        let before: usize = queue.groups[..*group as usize].iter().map(BTreeMap::len).sum();
+        let in_group = queue.groups[*group as usize].range(..*order).count();
+        Some((*group, before + in_group))
     }
 
     /// A reservation.
--- a/crates/basilbank_wire/src/message/member.rs
+++ b/crates/basilbank_wire/src/message/member.rs
@@ -17,7 +17,7 @@
     pub leaving: bool,
     /// What the sender knows of others.
     #[prost(message, repeated, tag = "5")]
-    pub seen: Vec<Seen>,
+    pub seen: Vec<MemberRecord>,
     /// The sender lacks members' records: the receiver should answer with all that it has.
     #[prost(bool, tag = "6")]
     pub probe: bool,
@@ -40,7 +40,7 @@
 
 /// What one daemon knows of another.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Seen {
+pub struct MemberRecord {
     /// The VM.
     #[prost(fixed64, tag = "1")]
     pub vm: u64,
