--- a/crates/basilbank_core/src/naive.rs
+++ b/crates/basilbank_core/src/naive.rs
@@ -1,5 +1,5 @@
-//! A baseline with the same events and effects, to measure the decisions against: round robin,
-//! no reservation, no queue, and another try on any failure.
+//! A baseline with the same events and effects, against which the decisions are measured: round
+//! robin, without reservations or queues, with a retry after any failure.
 
 mod call;
 mod job;
@@ -19,34 +19,34 @@
     time::Now,
 };
 
-/// Pause before a failed request is tried again.
+/// Delay before a failed request is tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Time between two looks at the platform after it failed.
+/// Time between two reads of the platform while it fails.
 const PLATFORM_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A daemon that decides naively.
 #[derive(Debug)]
 pub struct Naive {
-    /// What the daemon is.
+    /// Identity and settings of the daemon.
     pub local: Local,
     /// The catalogue in force.
     pub view: View,
     /// Requests in progress.
     pub jobs: SlotMap<RequestKey, Job>,
-    /// The request of each attempt that is alive.
+    /// The request of each attempt in progress.
     pub attempts: SlotMap<AttemptKey, RequestKey>,
     /// Requests by caller.
     pub callers: HashMap<CallerId, RequestKey>,
-    /// What is due when.
+    /// Timers.
     pub timers: Timers,
-    /// SIGTERM came.
+    /// Whether SIGTERM was received.
     pub leaving: bool,
     counter: u64,
     next_index: usize,
 }
 
 impl Naive {
-    /// A daemon that has just started.
+    /// Creates the state of a daemon that has just started.
     #[must_use]
     pub fn new(local: Local, now: Now) -> Naive {
         let mut timers = Timers::default();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes one event in and pushes what is to be done about it.
+    /// Handles one event and pushes the resulting effects.
     pub fn reduce(&mut self, now: Now, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Caller(CallerEvent::Arrived(call)) => self.on_call(now, *call, out),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Whether load balancers may send callers to this daemon.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.leaving && 0 < self.view.catalogue.revision
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Tries again whatever the failure was.
+    /// Retries after any failure, while attempts are left.
     fn on_failed(&mut self, now: Now, attempt: AttemptKey, out: &mut Vec<Effect>) {
         let Some(key) = self.attempts.remove(attempt) else { return };
         let job = &mut self.jobs[key];
--- a/crates/basilbank_core/src/naive/call.rs
+++ b/crates/basilbank_core/src/naive/call.rs
@@ -1,4 +1,4 @@
-//! The baseline's calls to endpoints, and what comes of them.
+//! The baseline's calls to endpoints, and the handling of their results.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Naive {
-    /// Sends a request to the next endpoint in turn.
+    /// Sends a request to the next endpoint by round robin.
     pub(super) fn start_attempt(&mut self, key: RequestKey, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(key) else { return };
         let role = match job.target {
--- a/crates/basilbank_core/src/naive/job.rs
+++ b/crates/basilbank_core/src/naive/job.rs
@@ -8,48 +8,48 @@
     ids::{AttemptKey, CallerId, EndpointId, EntryId, RequestId, TeamId},
 };
 
-/// One request.
+/// One request of the baseline.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Who waits for it.
+    /// The caller that waits for it.
     pub caller: CallerId,
-    /// Who is charged.
+    /// The team that is charged.
     pub team: TeamId,
-    /// The entry it runs under.
+    /// The catalogue entry under which it runs.
     pub entry: EntryId,
-    /// What it needs.
+    /// The model or service that it needs.
     pub target: EntryTarget,
-    /// The draft; `None` for a plain call.
+    /// The completion call; `None` for a plain call.
     pub completion: Option<Completion>,
     /// When it was accepted.
     pub accepted_at: Duration,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Tokens delivered.
+    /// Number of tokens sent to the caller.
     pub delivered: u32,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Prompt tokens from the prefix cache.
+    /// Number of prompt tokens that came from the prefix cache.
     pub cached_tokens: u32,
-    /// When the first token went out.
+    /// When the first token was sent to the caller.
     pub first_token_at: Option<Duration>,
-    /// What it is doing.
+    /// Stage of the request.
     pub stage: Stage,
 }
 
-/// What a request is doing.
+/// Stage of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Stage {
-    /// It waits to be tried again.
+    /// It waits for its first attempt or for a retry.
     Waiting,
     /// An attempt runs at an endpoint.
     Running(AttemptKey, EndpointId),
 }
 
 impl Job {
-    /// A request that was just accepted.
+    /// Creates a request that was just accepted.
     #[must_use]
     pub fn new(
         id: RequestId,
--- a/crates/basilbank_core/src/state.rs
+++ b/crates/basilbank_core/src/state.rs
@@ -1,4 +1,4 @@
-//! All that a daemon's decisions know.
+//! The state on which a daemon's decisions are based.
 
 mod attempt;
 mod claims;
@@ -54,20 +54,20 @@
     tuning::Tuning,
 };
 
-/// What a daemon knows of itself, from its settings and its start.
+/// Identity and settings of this daemon, fixed when its process starts.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Local {
-    /// Its VM's name on the platform's list.
+    /// Name of its VM on the platform's list.
     pub name: String,
-    /// Hash of the name.
+    /// Hash of `name`.
     pub vm: VmId,
-    /// Where it is.
+    /// Data centre of its VM.
     pub data_centre: DataCentreId,
-    /// Its process's start, milliseconds since the Unix epoch.
+    /// Start of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Constants.
+    /// Constants of the decisions.
     pub tuning: Tuning,
 }
 
@@ -116,45 +116,45 @@
     }
 }
 
-/// The state of one daemon.
+/// State of one daemon.
 #[derive(Debug)]
 pub struct State {
-    /// What the daemon is.
+    /// Identity and settings of the daemon.
     pub local: Local,
     /// The catalogue in force, indexed.
     pub view: View,
-    /// Peers.
+    /// The other daemons of the system.
     pub members: Members,
-    /// The catalogue's documents and the VM list, and how far they have spread.
+    /// The catalogue's documents and the VM list, and the state of their distribution.
     pub documents: Documents,
     /// Requests in progress.
     pub requests: Requests,
-    /// What is known of endpoints: load, prefix caches, failures.
+    /// Health of endpoints, prefix caches and estimate errors.
     pub health: Health,
-    /// Slots held at endpoints, and those that this daemon decides on as steward.
+    /// Slots that this daemon holds at endpoints, and ledgers of the endpoints that it owns.
     pub slots: Slots,
-    /// Entries' limits: leases had, and those given as steward.
+    /// Limits of entries: leases that this daemon holds, and limits that it shares out as owner.
     pub limits: LimitTable,
-    /// Idempotency keys: claims made, and votes given.
+    /// Idempotency keys: claims that this daemon made, and keys that it granted as a voter.
     pub claims: Claims,
-    /// Orders to endpoints.
+    /// Orders to endpoints about what they serve.
     pub orders: Orders,
-    /// Streams and KV caches that nobody owns any more.
+    /// Cancels whose effect is checked, so that no stream or KV cache is left behind.
     pub reaper: Reaper,
-    /// What is due when.
+    /// Timers.
     pub timers: Timers,
-    /// Seeded random numbers.
+    /// Seeded random number generator.
     pub rng: Rng,
-    /// SIGTERM came: no new work.
+    /// Whether SIGTERM was received; the daemon then accepts no new work.
     pub leaving: bool,
-    /// The earliest moment to exit after that.
+    /// Earliest moment at which the process exits after SIGTERM.
     pub exit_at: Duration,
-    /// When the daemon started, on the monotonic clock.
+    /// Start of the daemon on the monotonic clock.
     pub started_at: Duration,
 }
 
 impl State {
-    /// A daemon that has just started and knows nothing yet.
+    /// Creates the state of a daemon that has just started.
     #[must_use]
     pub fn new(local: Local, now: Now) -> State {
         let mut timers = Timers::default();
@@ -187,21 +187,21 @@
         }
     }
 
-    /// When the next `Event::Tick` is due, on the monotonic clock.
+    /// Returns when the next `Event::Tick` is due, on the monotonic clock.
     #[must_use]
     pub fn wake_at(&self) -> Option<Duration> {
         self.timers.next_due()
     }
 
-    /// Whether an endpoint is known to be leaving, by the catalogue or by its own word.
+    /// Whether an endpoint is leaving according to the catalogue or to its own report.
     #[must_use]
     pub fn is_leaving(&self, endpoint: EndpointId) -> bool {
         let is_marked = self.view.endpoint(endpoint).is_none_or(|e| e.leaving);
         is_marked || self.health.endpoints.get(&endpoint).is_some_and(|known| known.leaving)
     }
 
-    /// Whether callers may be sent here: there is a catalogue that peers have not left behind, and
-    /// no shutdown.
+    /// Whether load balancers may send callers to this daemon: its catalogue is not known to be
+    /// stale, and it is not shutting down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.leaving && self.documents.freshness.is_fresh
--- a/crates/basilbank_core/src/state/attempt.rs
+++ b/crates/basilbank_core/src/state/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request.
+//! One try of a request at its endpoints.
 
 use std::time::Duration;
 
@@ -7,85 +7,86 @@
     state::SlotKey,
 };
 
-/// One attempt of a request.
+/// One try of a request at its endpoints.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request.
+    /// The request that this is an attempt of.
     pub request: RequestKey,
-    /// Its number; no two attempts of a request share one.
+    /// Number of the attempt; unique within its request.
     pub number: u32,
-    /// What it is doing.
+    /// Stage that the attempt is in.
     pub stage: AttemptStage,
-    /// Since when.
+    /// When the attempt entered its stage.
     pub stage_since: Duration,
-    /// Prefill endpoints to be asked later, and when; the next one last.
+    /// Prefill endpoints that are asked for a slot later, each with the time at which it is asked.
+    /// Sorted by time, the earliest last.
     pub prefill_plan: Vec<(Duration, EndpointId)>,
-    /// Endpoints whose stewards denied the slot that it looks for.
+    /// Endpoints whose owners denied the slot that the attempt waits for.
     pub denied: Vec<EndpointId>,
-    /// Slots that were asked for and not granted yet.
+    /// Slots that were requested and are not granted yet.
     pub reservations: Vec<SlotKey>,
-    /// The slot at a decode endpoint or a plain service.
+    /// Slot at a decode endpoint or a plain service.
     pub slot: Option<SlotKey>,
-    /// The slot at a prefill endpoint.
+    /// Slot at a prefill endpoint.
     pub prefill_slot: Option<SlotKey>,
-    /// The KV cache that waits to be imported.
+    /// KV cache that waits to be imported.
     pub kv_cache: Option<KvCache>,
-    /// The stream's name at the decode endpoint.
+    /// Name of the stream at the decode endpoint.
     pub stream: Option<String>,
-    /// Tokens that the caller had when the stream's token 0 came.
+    /// Number of tokens that the caller had received when token 0 of this stream was generated.
     pub base_offset: u32,
-    /// The next token of the stream that is wanted.
+    /// Offset in the stream of the next token that is expected.
     pub next_offset: u32,
-    /// When its decode slot was granted.
+    /// When the decode slot was granted.
     pub decode_granted: Duration,
-    /// When its prefill was sent.
+    /// When the prefill was sent.
     pub prefill_started: Duration,
-    /// Estimate of its prefill and transfer.
+    /// Estimated duration of prefill and transfer.
     pub expected: Duration,
-    /// Prefill time spent on it.
+    /// Time that the endpoint spent on the prefill.
     pub prefill_time: Duration,
-    /// When a token last came.
+    /// When the last token arrived, or the stream was last opened.
     pub last_progress: Duration,
-    /// It started by reading a stream that a cursor named.
+    /// Whether the attempt started by reading a stream that a cursor named.
     pub resumed: bool,
-    /// Times that its stream was read again since a token last came.
+    /// How often the stream was read again since the last token arrived.
     pub rereads: u32,
 }
 
-/// A KV cache at a prefill endpoint.
+/// KV cache that a prefill endpoint keeps for a decode endpoint.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct KvCache {
-    /// Where it is.
+    /// Endpoint that holds the KV cache.
     pub endpoint: EndpointId,
-    /// Its name there.
+    /// Name of the KV cache at that endpoint.
     pub handle: String,
-    /// Its size in bytes.
+    /// Size in bytes.
     pub bytes: u64,
-    /// When it is evicted if no decode endpoint takes it.
+    /// When the endpoint evicts it unless a decode endpoint imports it before.
     pub evicted_at: Duration,
 }
 
-/// What an attempt is doing.
+/// Stage of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptStage {
-    /// It waits for a slot at a decode endpoint or a plain service.
+    /// Waits for a slot at a decode endpoint or a plain service.
     WaitingForSlot,
-    /// It has a decode slot and waits for one at a prefill endpoint.
+    /// Has a decode slot and waits for a prefill slot.
     WaitingForPrefill,
-    /// The prefill runs.
+    /// The prefill endpoint computes the prompt.
     Prefill,
-    /// Its KV cache is there, but its decode slot is not: it waits for another.
+    /// Has a KV cache but has lost its decode slot, and waits for another one.
     Relocating,
     /// The decode endpoint imports the KV cache.
     Import,
-    /// The decode endpoint streams.
+    /// The decode endpoint streams tokens.
     Stream,
-    /// A plain service works on it.
+    /// A plain service handles the call.
     Plain,
 }
 
 impl Attempt {
-    /// An attempt that starts.
+    /// Creates an attempt that waits for its first slot.
     #[must_use]
     pub fn new(request: RequestKey, number: u32, base: u32, now: Duration) -> Attempt {
         Attempt {
@@ -112,14 +113,14 @@
         }
     }
 
-    /// Goes on to a stage.
+    /// Moves the attempt to a stage. Denials of the former stage no longer count.
     pub fn enter_stage(&mut self, stage: AttemptStage, now: Duration) {
         self.stage = stage;
         self.stage_since = now;
         self.denied.clear();
     }
 
-    /// Where it runs now.
+    /// Returns the endpoint that works for the attempt now.
     #[must_use]
     pub fn endpoint(&self) -> Option<EndpointId> {
         let slot = match self.stage {
--- a/crates/basilbank_core/src/state/claims.rs
+++ b/crates/basilbank_core/src/state/claims.rs
@@ -21,12 +21,14 @@
 /// Idempotency keys: claims that this daemon made, and votes that it gave.
 #[derive(Debug, Default)]
 pub struct Claims {
-    /// Claims of this daemon's requests, until their voters know how they ended.
+    /// Claims of this daemon's requests. A claim stays until its voters know the outcome of the
+    /// request.
     pub own: HashMap<RequestId, OwnClaim>,
-    /// Keys that this daemon granted as a voter, or heard of.
+    /// Keys that this daemon granted as a voter, or was informed of.
     pub key_table: KeyTable,
-    /// For which keys, and since when, this daemon has been a voter.
+    /// For which keys this daemon is a voter, and since when.
     pub voter_history: VoterHistory,
-    /// Claims that were won, oldest first, with the moment from which nothing may be sent under them.
+    /// Claims that were won, oldest first, each with the moment from which its request may no
+    /// longer be sent to an endpoint.
     pub send_deadlines: VecDeque<(Duration, RequestId)>,
 }
--- a/crates/basilbank_core/src/state/claims/claim_key.rs
+++ b/crates/basilbank_core/src/state/claims/claim_key.rs
@@ -1,25 +1,25 @@
-//! The name under which daemons know an idempotency key.
+//! The hash under which daemons know an idempotency key.
 
 use sha2::{Digest, Sha256};
 
 use crate::ids::TeamId;
 
-/// Length of a hyphenated UUID.
+/// Length of a hyphenated UUID in bytes.
 const UUID_LEN: usize = 36;
-/// Where a hyphenated UUID has its hyphens.
+/// Positions of the hyphens in a hyphenated UUID.
 const HYPHEN_INDICES: [usize; 4] = [8, 13, 18, 23];
-/// Where a hyphenated UUID has its version digit.
+/// Position of the version digit in a hyphenated UUID.
 const VERSION_INDEX: usize = 14;
-/// Where a hyphenated UUID has its variant digit.
+/// Position of the variant digit in a hyphenated UUID.
 const VARIANT_INDEX: usize = 19;
 
-/// First 16 bytes of the SHA-256 of a team and an idempotency key, so that no peer learns the key and
-/// two teams never share one.
+/// First 16 bytes of the SHA-256 of a team and an idempotency key. The hash keeps the key secret
+/// from peers, and the team in it keeps equal keys of two teams apart.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct ClaimKey(pub [u8; 16]);
 
 impl ClaimKey {
-    /// The name of a team's key.
+    /// Hashes a team's idempotency key.
     #[must_use]
     pub fn new(team: TeamId, key: &str) -> ClaimKey {
         let mut hash = Sha256::new();
@@ -31,13 +31,13 @@
         ClaimKey(bytes)
     }
 
-    /// A name that a peer sent; `None` when it has another length.
+    /// Reads a key that a peer sent; `None` when its length is wrong.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<ClaimKey> {
         bytes.try_into().ok().map(ClaimKey)
     }
 
-    /// What voters are ranked by.
+    /// Returns the subject by which rendezvous hashing chooses the key's voters.
     #[must_use]
     pub fn subject(&self) -> u64 {
         let mut first = [0; 8];
@@ -46,7 +46,8 @@
     }
 }
 
-/// When a UUIDv7 was made, in milliseconds since the Unix epoch; 0 for any other key.
+/// Returns the time that a UUIDv7 carries, in milliseconds since the Unix epoch; 0 for any other
+/// key.
 #[must_use]
 pub fn uuid_v7_unix_ms(key: &str) -> u64 {
     let bytes = key.as_bytes();
--- a/crates/basilbank_core/src/state/claims/key_table.rs
+++ b/crates/basilbank_core/src/state/claims/key_table.rs
@@ -1,4 +1,4 @@
-//! What a voter remembers of keys.
+//! The keys that a voter remembers.
 
 use std::{
     cmp::Reverse,
@@ -10,19 +10,19 @@
 
 use crate::state::claims::ClaimKey;
 
-/// What a voter remembers of one key.
+/// Record of one key at a voter.
 #[derive(Clone, PartialEq, Debug)]
 pub struct KeyEntry {
-    /// The request that has the key.
+    /// The request that holds the key.
     pub record: KeyRecord,
-    /// When the key is forgotten.
+    /// When the voter forgets the key.
     pub expires_at: Duration,
 }
 
 /// All keys that a voter remembers.
 ///
-/// An entry leaves when its time is over or when its request gave the key back, never because the
-/// table is full: a key that was forgotten early could be run twice.
+/// A key is removed when it expires or when its request gives it back, never because the table is
+/// full: a key that is forgotten early could be run twice.
 #[derive(Debug, Default)]
 pub struct KeyTable {
     entries: HashMap<ClaimKey, KeyEntry>,
@@ -30,35 +30,36 @@
 }
 
 impl KeyTable {
-    /// Number of keys remembered.
+    /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the table has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What is known of a key.
+    /// Returns the record of a key.
     #[must_use]
     pub fn get(&self, key: &ClaimKey) -> Option<&KeyEntry> {
         self.entries.get(key)
     }
 
-    /// Remembers a key, in place of what was known of it.
+    /// Adds a key, or replaces its record.
     pub fn insert(&mut self, key: ClaimKey, record: KeyRecord, expires: Duration) {
         if self.entries.insert(key, KeyEntry { record, expires_at: expires }).is_none() {
             self.expiries.push(Reverse((expires, key)));
         }
     }
 
-    /// Forgets a key whose request gave it back.
+    /// Removes a key whose request gave it back.
     ///
-    /// Its place in the order of expiry goes with it: else a key that is claimed and given back over
-    /// and over would leave a place each time, and the table would grow without a live key in it.
+    /// Expiries of removed keys are dropped as well. Otherwise a key that is claimed and given back
+    /// repeatedly would leave an expiry each time, and the heap would grow without any key in the
+    /// table.
     pub fn remove(&mut self, key: &ClaimKey) {
         self.entries.remove(key);
         if self.expiries.len() > 2 * self.entries.len() + MAX_STALE_EXPIRIES {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Forgets the keys whose time is over.
+    /// Removes the keys that have expired.
     pub fn expire(&mut self, mono: Duration) {
         while let Some(Reverse((at, key))) = self.expiries.peek().copied() {
             if mono < at {
@@ -85,5 +86,5 @@
     }
 }
 
-/// Places in the order of expiry that may be without a key before they are cleared.
+/// Number of expiries without a key that are tolerated before the heap is rebuilt.
 const MAX_STALE_EXPIRIES: usize = 64;
--- a/crates/basilbank_core/src/state/claims/own_claim.rs
+++ b/crates/basilbank_core/src/state/claims/own_claim.rs
@@ -9,23 +9,23 @@
     state::claims::ClaimKey,
 };
 
-/// One voter of a claim.
+/// State of one voter of a claim.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Voter {
-    /// The voter.
+    /// The VM that votes.
     pub vm: VmId,
-    /// It was asked.
+    /// Whether it was asked for its vote.
     pub asked: bool,
-    /// Its last answer.
+    /// Its last vote.
     pub verdict: Option<Verdict>,
-    /// What it knows of another request that has the key.
+    /// What it reported of another request that has the key.
     pub record: Option<KeyRecord>,
-    /// It has confirmed the claim's newest record.
+    /// Whether it has acknowledged the claim's newest record.
     pub acknowledged: bool,
 }
 
 impl Voter {
-    /// A voter that was not asked yet.
+    /// Creates the state of a voter that was not asked yet.
     #[must_use]
     pub fn new(vm: VmId) -> Voter {
         Voter { vm, asked: false, verdict: None, record: None, acknowledged: false }
@@ -38,83 +38,83 @@
     }
 }
 
-/// How far a claim is.
+/// Phase of a claim.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ClaimPhase {
-    /// Votes are awaited.
+    /// Waiting for votes.
     Asking,
-    /// The key is this request's.
+    /// The key belongs to this request.
     Held,
-    /// The request has ended; the voters are told.
+    /// The request has ended, and the voters are being informed.
     Ending,
 }
 
-/// How a claim stands after the votes so far.
+/// Result of a claim after the votes received so far.
 #[derive(Clone, PartialEq, Debug)]
 pub enum ClaimStatus {
-    /// More votes may decide it.
+    /// More votes are needed for a decision.
     Undecided,
-    /// The key is this request's.
+    /// The key belongs to this request.
     Won,
-    /// It can't be won; what is known of the request that has the key, if any.
+    /// The claim can't be won. Holds what is known of the request that has the key, if anything.
     Lost(Option<KeyRecord>),
 }
 
-/// A claim that this daemon made.
+/// A claim that this daemon made for one of its requests.
 #[derive(Clone, Debug)]
 pub struct OwnClaim {
-    /// The request in this daemon's arena.
+    /// The claiming request in this daemon's arena.
     pub request: RequestKey,
-    /// The key.
+    /// The key that is claimed.
     pub key: ClaimKey,
-    /// When the key says it was made, milliseconds since the Unix epoch; 0 when it says nothing.
+    /// Time that the key carries, in milliseconds since the Unix epoch; 0 when it carries none.
     pub key_time: u64,
-    /// The voters, in the order of their rank.
+    /// The voters, ordered by rank.
     pub voters: Vec<Voter>,
-    /// How far it is.
+    /// Phase of the claim.
     pub phase: ClaimPhase,
-    /// Something was sent to an endpoint under it.
+    /// Whether anything was sent to an endpoint under this claim.
     pub is_sent: bool,
-    /// What the voters are told.
+    /// Record of the request that the voters are sent.
     pub record: KeyRecord,
-    /// The request whose key this one asks for, as its daemon is gone; 0 for none.
+    /// The request whose key this one takes over because its daemon is gone; 0 for none.
     pub predecessor: u64,
-    /// When the votes must be there.
+    /// When the votes must have arrived.
     pub deadline: Duration,
-    /// Times that the voters were asked or told the current thing.
+    /// How often the current question or record was sent to the voters.
     pub send_count: u32,
-    /// When to ask or tell again.
+    /// When the question or record is sent again.
     pub resend_at: Duration,
 }
 
 impl OwnClaim {
-    /// Whether a voter's answer is awaited. One that was not asked, or not since the votes were
-    /// forgotten, answers an earlier question.
+    /// Whether a vote of this VM is expected. A voter that was not asked since the votes were reset
+    /// is answering an earlier question.
     #[must_use]
     pub fn is_awaiting(&self, vm: VmId) -> bool {
         self.voters.iter().any(|b| b.vm == vm && b.asked)
     }
 
-    /// Notes a voter's answer.
+    /// Records a vote.
     pub fn record_vote(&mut self, vm: VmId, verdict: Verdict, record: Option<KeyRecord>) {
         let Some(ballot) = self.voters.iter_mut().find(|b| b.vm == vm) else { return };
         ballot.verdict = Some(verdict);
         ballot.record = record;
     }
 
-    /// Notes that a voter knows the newest record.
+    /// Records that a voter has acknowledged the newest record.
     pub fn record_ack(&mut self, vm: VmId) {
         let Some(ballot) = self.voters.iter_mut().find(|b| b.vm == vm) else { return };
         ballot.acknowledged = true;
     }
 
-    /// Whether all voters know the newest record.
+    /// Whether all voters that were asked have acknowledged the newest record.
     #[must_use]
     pub fn is_acknowledged(&self) -> bool {
         self.voters.iter().all(|b| b.acknowledged || !b.asked)
     }
 
-    /// Changes what the voters are told.
+    /// Marks the record as changed: all voters have to acknowledge it again.
     pub fn reset_acks(&mut self) {
         for ballot in &mut self.voters {
             ballot.acknowledged = false;
@@ -122,18 +122,17 @@
         self.send_count = 0;
     }
 
-    /// Votes that win the key: a majority of the voters.
+    /// Returns the number of votes that wins the key: a majority of the voters.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Marks the voters to be asked now, and gives them.
+    /// Selects the voters to ask now and marks them as asked.
     ///
-    /// Two votes win, so the two cheapest voters are asked first, and the third when one of them does
-    /// not grant.
-    /// After that all are asked that have not granted; one that gave the key to another request may
-    /// have got it back.
+    /// Two votes win, so the two voters of the lowest cost are asked first, and the third one if
+    /// one of them does not grant the key. After that, all voters that have not granted it are
+    /// asked again, since a voter that gave the key to another request may have got it back.
     pub fn next_voters<C: Ord>(&mut self, cost: impl Fn(VmId) -> C) -> Vec<VmId> {
         let needed = self.quorum();
         let is_first = !self.voters.iter().any(|b| b.asked);
@@ -148,18 +147,20 @@
         open.into_iter().map(|b| b.vm).collect()
     }
 
-    /// Whether all voters that were asked have answered, and another has not been asked.
+    /// Whether all voters that were asked have answered, and at least one has not been asked.
     #[must_use]
     pub fn needs_more_voters(&self) -> bool {
         let mut asked = self.voters.iter().filter(|b| b.asked);
         asked.all(|b| b.verdict.is_some()) && self.voters.iter().any(|b| !b.asked)
     }
 
-    /// How the claim stands. `waited`: the voters that did not answer had the time to.
+    /// Evaluates the votes. `waited` says whether the voters without an answer have had enough
+    /// time.
     ///
-    /// Two daemons that claim one key at once may split the votes one to one while the third voter
-    /// is dead, and each would wait for the other's vote until both are refused. So the one that
-    /// lost the highest-ranking vote gives way, and the other finds the key free when it asks again.
+    /// Two daemons that claim one key at the same time may get one vote each while the third voter
+    /// is dead. Each would then wait for the other's vote until both are refused. So the daemon
+    /// that did not get the highest-ranking vote gives up, and the other one finds the key free
+    /// when it asks again.
     #[must_use]
     pub fn status(&self, waited: VoteWait) -> ClaimStatus {
         if let Some(record) = self.winner() {
@@ -185,7 +186,7 @@
         self.voters.iter().filter(|b| b.verdict == verdict).count()
     }
 
-    /// The request that has the key for certain: it was sent somewhere, or it ended, or a majority
+    /// Returns the request that certainly has the key: it has a stream, it has ended, or a majority
     /// of the voters names it.
     fn winner(&self) -> Option<KeyRecord> {
         let records = || self.voters.iter().filter_map(|b| b.record.as_ref());
@@ -198,7 +199,7 @@
         ended.or_else(streamed).or_else(by_majority).cloned()
     }
 
-    /// Forgets all votes: the voters are to be asked anew.
+    /// Resets all votes, so that the voters are asked again.
     pub fn reset_votes(&mut self) {
         for ballot in &mut self.voters {
             *ballot = Voter::new(ballot.vm);
@@ -206,7 +207,7 @@
         self.send_count = 0;
     }
 
-    /// Another request that a voter names.
+    /// Returns another request that a voter has reported.
     #[must_use]
     pub fn competing_record(&self) -> Option<KeyRecord> {
         self.voters.iter().find_map(|b| b.record.clone())
@@ -220,11 +221,11 @@
     }
 }
 
-/// Whether the voters that have not answered had the time to.
+/// Whether the voters that have not answered had enough time for it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum VoteWait {
-    /// Their answers may be on the way.
+    /// Their answers may still be on the way.
     Pending,
-    /// A whole peer timeout has passed.
+    /// A full peer timeout has passed.
     TimedOut,
 }
--- a/crates/basilbank_core/src/state/claims/voter_history.rs
+++ b/crates/basilbank_core/src/state/claims/voter_history.rs
@@ -1,4 +1,4 @@
-//! Since when a daemon has been a voter.
+//! Records since when this daemon has been a voter of a key.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,16 +11,16 @@
     time::Now,
 };
 
-/// Lists remembered. A list that changes more often within one key window makes voters look younger
-/// than they are, which is safe.
+/// Maximum number of VM lists kept. If the list changes more often within one key window, voters
+/// appear to be newer than they are, which is safe.
 const MAX_LISTS: usize = 64;
 
-/// Since when a daemon has been a voter of a key, without a gap.
+/// Start of the period in which this daemon has been a voter of a key without a gap.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct VoterSince {
-    /// On the monotonic clock.
+    /// Moment on the monotonic clock.
     pub mono: Duration,
-    /// On the wall clock, milliseconds since the Unix epoch.
+    /// Moment on the wall clock, in milliseconds since the Unix epoch.
     pub wall: u64,
 }
 
@@ -30,18 +30,20 @@
     vms: Vec<VmId>,
 }
 
-/// The VM lists of the last key window, to tell for which keys, and since when, this daemon has been
-/// a voter.
+/// VM lists of the last key window. They tell for which keys this daemon is a voter, and since
+/// when.
 ///
-/// Without it a VM that came up, or that a change of the list made a voter, would take a key that was
-/// granted before its time for a new one, and the key's request would run a second time.
+/// Without them, a VM that has just started, or that became a voter when the list changed, would
+/// take a key that was granted before that time for a new one, and the key's request would run a
+/// second time.
 #[derive(Clone, Debug, Default)]
 pub struct VoterHistory {
     lists: VecDeque<VmListPeriod>,
 }
 
 impl VoterHistory {
-    /// Takes in the platform's list as it is now known.
+    /// Adds the current VM list if it differs from the last one, and drops lists that ended before
+    /// the key window.
     pub fn update(&mut self, now: Now, window: Duration, members: &Members) {
         let vms = members.all.keys().copied();
         if self.lists.back().is_some_and(|last| vms.clone().eq(last.vms.iter().copied())) {
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Since when `own` has been among the voters of a subject; `None` when it is not among them now.
+    /// Returns since when `own` has been among the voters of a subject without a gap; `None` when
+    /// it is not one of them now.
     #[must_use]
     pub fn voter_since(&self, own: VmId, subject: u64) -> Option<VoterSince> {
         let newest_first = self.lists.iter().rev();
--- a/crates/basilbank_core/src/state/documents.rs
+++ b/crates/basilbank_core/src/state/documents.rs
@@ -16,60 +16,64 @@
     store::{ApplyResult, DocumentStore},
 };
 
-/// The catalogue's documents and the VM list, with their revisions, and how far they have spread.
+/// The catalogue's documents and the VM list, with their revisions and the state of their
+/// distribution.
 ///
-/// Two revisions count: that of the documents, which goes on with each change that the platform
-/// publishes, and that of the catalogue in force (`State::view`), which goes on with each change
-/// that was accepted. Both only rise.
+/// Two revisions matter: that of the documents, which rises with each change that the platform
+/// publishes, and that of the catalogue in force (`State::view`), which rises with each change that
+/// was accepted. Neither ever falls.
 #[derive(Debug, Default)]
 pub struct Documents {
-    /// The documents.
+    /// The newest documents.
     pub store: DocumentStore,
-    /// The documents of the catalogue in force, where they differ.
+    /// The documents of the catalogue in force, as far as they differ from the newest.
     pub accepted: AcceptedDocuments,
-    /// The VM list.
+    /// The newest VM list.
     pub vms: VmList,
-    /// The highest revisions that peers have shown.
+    /// Highest revisions that peers have advertised.
     pub advertised: AdvertisedRevisions,
-    /// Documents asked for at a peer.
+    /// Request to a peer for documents.
     pub fetch: PendingFetch,
-    /// The VM list asked for at a peer.
+    /// Request to a peer for the VM list.
     pub vms_fetch: PendingFetch,
     /// Reads of the catalogue from the platform.
     pub catalogue_reader: PlatformReader,
     /// Reads of the VM list from the platform.
     pub vms_reader: PlatformReader,
-    /// When the platform last confirmed, here or elsewhere, that the documents are the newest.
+    /// When the platform last confirmed to this daemon or to a peer that the documents are the
+    /// newest.
     pub confirmed_at: Option<Duration>,
-    /// New revisions are still to be told to peers.
+    /// Whether a new revision has not been reported to peers yet.
     pub unreported: bool,
-    /// When peers were last told of new revisions.
+    /// When a new revision was last reported to peers.
     pub reported_at: Duration,
-    /// Whole catalogues sent to peers within the second that starts here.
+    /// Full catalogues sent to peers in the current second.
     pub full_transfers: FullTransfers,
-    /// Whether callers may be served by the catalogue in force.
+    /// Whether the catalogue in force is fresh enough to serve callers.
     pub freshness: Freshness,
 }
 
-/// Whole catalogues sent to peers, to bound what a mass restart costs one daemon.
+/// Number of full catalogues sent to peers in one second. It bounds the load that a restart of many
+/// daemons puts on one of them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct FullTransfers {
-    /// When the current second began.
+    /// Start of the current second.
     pub second_start: Duration,
-    /// Whole catalogues in it.
+    /// Full catalogues sent in this second.
     pub sent: u32,
 }
 
-/// Whether the catalogue in force may be older than what peers had long ago.
+/// Whether the catalogue in force may be older than the one that peers have had for a long time.
 ///
-/// A daemon that was just started, or slept, may hold a catalogue that all others have left behind.
-/// It would show in a caller whose key was withdrawn minutes ago and is served all the same. So it
-/// serves nobody new until it has heard its peers, or knows that it can't.
+/// A daemon that was just started or resumed after a pause may hold a catalogue that all others
+/// have replaced. A caller whose key was revoked minutes ago would then still be served. So the
+/// daemon serves no new callers until it has heard from its peers, or knows that it can't reach
+/// them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Freshness {
-    /// Callers may be served.
+    /// Whether callers may be served.
     pub is_fresh: bool,
-    /// Without news from peers until this moment it goes by what it has; `None` before the VM list
-    /// is known.
+    /// When the daemon stops waiting for peers and serves callers with the catalogue that it has;
+    /// `None` before the VM list is known.
     pub peer_deadline: Option<Duration>,
 }
--- a/crates/basilbank_core/src/state/documents/accepted.rs
+++ b/crates/basilbank_core/src/state/documents/accepted.rs
@@ -6,40 +6,40 @@
 
 use super::DocumentStore;
 
-/// A check that the shell was asked for.
+/// A catalogue check that the shell was asked to run.
 #[derive(Clone, PartialEq, Debug)]
 pub struct CatalogueCheck {
-    /// The revision.
+    /// Revision of the documents that are checked.
     pub revision: u64,
-    /// When it was asked for.
+    /// When the check was requested.
     pub started_at: Duration,
-    /// A peer's accepted documents, when it is these that are checked, and not the newest.
+    /// The accepted documents of a peer, if these are checked instead of the newest ones.
     pub accepted: Option<Vec<Document>>,
 }
 
-/// How the documents of the catalogue in force differ from the newest.
+/// The differences between the documents of the catalogue in force and the newest documents.
 ///
-/// A rejected change leaves the last good catalogue in force while the documents go on. A daemon
-/// that starts then can't compile the newest, and without the former versions kept here no peer
-/// could give it the catalogue that all others serve.
+/// When a change is rejected, the last good catalogue stays in force while newer documents keep
+/// arriving. A daemon that starts then can't compile the newest documents. The previous versions
+/// are kept here so that its peers can send it the catalogue that all others serve.
 #[derive(Clone, Debug, Default)]
 pub struct AcceptedDocuments {
-    /// The check that runs.
+    /// The check in progress.
     pub check: Option<CatalogueCheck>,
-    /// The revision that was last checked.
+    /// Highest revision of which a check was started.
     pub checked_revision: u64,
-    /// When a check was last asked for.
+    /// When a check was last requested.
     pub last_check: Duration,
-    /// The highest revision that is in force at a peer and was rejected here. Checks are pure, so
-    /// this takes a peer of another release; without it the two would send each other whole
-    /// catalogues without end.
+    /// Highest revision that is in force at a peer but was rejected here. Checks are deterministic,
+    /// so this only happens with a peer of another release. Without this field the two daemons
+    /// would send each other full catalogues endlessly.
     pub disputed_revision: u64,
     previous: BTreeMap<String, Option<Document>>,
     during_check: BTreeMap<String, Option<Document>>,
 }
 
 impl AcceptedDocuments {
-    /// The newest documents changed; `former` are the versions before.
+    /// Records that the newest documents changed; `previous` has the versions before the change.
     pub fn record_changes(&mut self, previous: BTreeMap<String, Option<Document>>) {
         for (key, document) in previous {
             if self.check.is_some() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A check of the newest documents, or of a peer's accepted ones, starts.
+    /// Starts a check of the newest documents or of a peer's accepted ones.
     pub fn begin_check(&mut self, check: CatalogueCheck) {
         self.last_check = check.started_at;
         self.checked_revision = self.checked_revision.max(check.revision);
@@ -57,7 +57,7 @@
         self.check = Some(check);
     }
 
-    /// The check ended well: what was checked is in force.
+    /// Ends a check that passed: the checked documents are in force.
     pub fn check_passed(&mut self, store: &DocumentStore) {
         let Some(check) = self.check.take() else { return };
         self.previous = match check.accepted {
@@ -66,7 +66,7 @@
         };
     }
 
-    /// The check ended with findings: the catalogue in force stays.
+    /// Ends a check that found errors: the catalogue in force stays.
     pub fn check_failed(&mut self) {
         let check = self.check.take();
         if let Some(check) = check.filter(|c| c.accepted.is_some()) {
@@ -75,14 +75,14 @@
         self.during_check.clear();
     }
 
-    /// The documents of the catalogue in force.
+    /// Returns the documents of the catalogue in force.
     #[must_use]
     pub fn all(&self, store: &DocumentStore) -> Vec<Document> {
         let newest = store.all().into_iter().filter(|d| !self.previous.contains_key(&d.key));
         newest.chain(self.previous.values().flatten().cloned()).collect()
     }
 
-    /// Bytes of the former versions.
+    /// Returns the size of the previous versions in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let all = self.previous.values().chain(self.during_check.values()).flatten();
--- a/crates/basilbank_core/src/state/documents/fetch.rs
+++ b/crates/basilbank_core/src/state/documents/fetch.rs
@@ -1,4 +1,4 @@
-//! What peers have, and what they were asked for.
+//! Revisions that peers advertise, and requests to them.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::ids::VmId;
 
-/// A revision, and a peer that has it.
+/// A revision and a peer that has it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct AdvertisedRevision {
     /// The revision.
     pub revision: u64,
-    /// The peer that showed it last.
+    /// The peer that advertised it last.
     pub from: VmId,
 }
 
@@ -23,19 +23,19 @@
     }
 }
 
-/// Revisions that a peer has shown, or the highest that any has.
+/// Revisions that a peer has advertised, or the highest ones of all peers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct AdvertisedRevisions {
-    /// Of a catalogue in force.
+    /// Revision of the catalogue in force.
     pub catalogue: AdvertisedRevision,
-    /// Of documents.
+    /// Revision of the newest documents.
     pub documents: AdvertisedRevision,
-    /// Of the VM list.
+    /// Revision of the VM list.
     pub vms: AdvertisedRevision,
 }
 
 impl AdvertisedRevisions {
-    /// What one peer's heartbeat shows.
+    /// Reads the revisions that a peer's heartbeat advertises.
     #[must_use]
     pub fn from_heartbeat(from: VmId, heartbeat: &Heartbeat) -> AdvertisedRevisions {
         let offer = |revision| AdvertisedRevision { revision, from };
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes over what is as high or higher.
+    /// Replaces each revision by the other one unless that is lower.
     pub fn merge(&mut self, other: &AdvertisedRevisions) {
         self.catalogue.merge(other.catalogue);
         self.documents.merge(other.documents);
@@ -54,15 +54,15 @@
     }
 }
 
-/// A question to a peer that may be open.
+/// A request to a peer that may still be unanswered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct PendingFetch {
-    /// When it was asked.
+    /// When the request was sent; `None` when it was answered.
     pub asked_at: Option<Duration>,
 }
 
 impl PendingFetch {
-    /// Whether one may ask now, because no answer is awaited any more.
+    /// Whether a new request may be sent: none is pending, or its answer is overdue.
     #[must_use]
     pub fn can_ask(&self, mono: Duration, timeout: Duration) -> bool {
         self.asked_at.is_none_or(|since| timeout <= mono.saturating_sub(since))
--- a/crates/basilbank_core/src/state/documents/store.rs
+++ b/crates/basilbank_core/src/state/documents/store.rs
@@ -1,39 +1,42 @@
-//! The documents, as the platform published them.
+//! The newest documents that the platform published.
 
 use std::collections::BTreeMap;
 
 use basilbank_wire::{CatalogueDelta, Document};
 
-/// Removed documents that are remembered, so that peers can be told of the removal alone.
+/// Maximum number of tombstones. A tombstone lets a removal be sent to peers as part of a delta.
 const MAX_TOMBSTONES: usize = 1024;
 
-/// What became of documents that came.
+/// Result of applying documents.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum ApplyResult {
-    /// They are older than what is known, and were dropped.
+    /// The documents are older than the known revision and were ignored.
     Stale,
-    /// Nothing is new.
+    /// The revision is already known.
     Unchanged,
-    /// They apply to a revision that is not known here, and were dropped.
+    /// The delta starts after the known revision and was ignored.
     Gap,
-    /// They are known now. Holds the former versions of what changed; `None` for a new document.
+    /// The documents were applied. Holds the previous versions of changed documents; `None` for a
+    /// new document.
     Changed(BTreeMap<String, Option<Document>>),
 }
 
-/// The documents of one revision.
+/// The documents of one revision, including tombstones.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentStore {
-    /// Their revision; 0 when there are none.
+    /// Revision of the documents; 0 when there are none.
     pub revision: u64,
     documents: BTreeMap<String, Document>,
+    /// Number of documents without a text.
     tombstones: usize,
+    /// Oldest revision from which a delta can be computed.
     history_start: u64,
 }
 
 impl DocumentStore {
-    /// Takes documents in that lead from one revision to another; `after` is 0 when they are the
-    /// whole. Each document carries the revision of its own last change, so a delta that starts
-    /// before the known revision does no harm.
+    /// Applies documents that lead from one revision to another; `after` is 0 when they are the
+    /// complete set. Each document carries the revision of its own last change, so a delta that
+    /// starts before the known revision is harmless.
     pub fn apply(&mut self, after: u64, revision: u64, documents: Vec<Document>) -> ApplyResult {
         if revision < self.revision {
             return ApplyResult::Stale;
@@ -49,7 +52,7 @@
             self.remove_missing(&documents, revision, &mut previous);
         }
         if self.revision == 0 {
-            // Nothing is known of what was removed before.
+            // Removals before the first known revision are unknown.
             self.history_start = revision;
         }
         for document in documents {
@@ -60,7 +63,8 @@
         ApplyResult::Changed(previous)
     }
 
-    /// What leads from a revision to this one. The whole if removals since then are forgotten.
+    /// Returns the delta from a revision to the current one; all documents if removals since then
+    /// have been pruned.
     #[must_use]
     pub fn delta_since(&self, after: u64) -> CatalogueDelta {
         if after == 0 || after < self.history_start {
@@ -70,19 +74,19 @@
         CatalogueDelta { after, revision: self.revision, documents: changed.cloned().collect() }
     }
 
-    /// All documents.
+    /// Returns all documents that exist.
     #[must_use]
     pub fn all(&self) -> Vec<Document> {
         self.documents.values().filter(|d| d.text.is_some()).cloned().collect()
     }
 
-    /// A document.
+    /// Returns a document if it exists.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&Document> {
         self.documents.get(key).filter(|d| d.text.is_some())
     }
 
-    /// Bytes of all texts and keys.
+    /// Returns the size of all texts and keys in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let size = |d: &Document| d.key.len() + d.text.as_ref().map_or(0, String::len);
@@ -116,7 +120,7 @@
         previous.entry(key).or_insert(old.filter(|d| d.text.is_some()));
     }
 
-    /// Forgets the removals that are longest ago when there are too many.
+    /// Drops the oldest tombstones while there are too many.
     fn prune_tombstones(&mut self) {
         while MAX_TOMBSTONES < self.tombstones {
             let removed = self.documents.values().filter(|d| d.text.is_none());
--- a/crates/basilbank_core/src/state/health.rs
+++ b/crates/basilbank_core/src/state/health.rs
@@ -1,4 +1,4 @@
-//! What is known of endpoints.
+//! Health of endpoints as seen by this daemon.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -11,64 +11,66 @@
     state::{Overrun, PrefixIndex},
 };
 
-/// Why and how long an endpoint gets no work.
+/// Exclusion of an endpoint from new work.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Exclusion {
-    /// Until when at least.
+    /// Earliest end of the exclusion.
     pub until: Duration,
-    /// It could not be reached: its next load report ends it.
+    /// Whether the endpoint could not be reached. Its next load report then ends the exclusion.
     pub unreachable: bool,
 }
 
-/// What is known of one endpoint.
+/// Health of one endpoint.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct EndpointHealth {
-    /// It said itself that it is leaving.
+    /// Whether the endpoint has reported that it is leaving.
     pub leaving: bool,
-    /// Failures since it last worked.
+    /// Consecutive failures since the last success.
     pub failures: u32,
-    /// It gets no work for now.
+    /// The current exclusion from new work.
     pub exclusion: Option<Exclusion>,
-    /// Times that its transfers stalled with several others, without a long time between.
+    /// Number of exclusions because transfers with several other endpoints stalled, counted while
+    /// they follow each other closely. The exclusion gets longer with each.
     pub stalls: u32,
-    /// When the last rest for that ends or ended.
+    /// End of the last exclusion because of stalled transfers.
     pub stall_until: Duration,
-    /// Free slots that its steward last told, and when.
+    /// Free slots that the owner last reported, and when.
     pub free_slots: Option<(u32, Duration)>,
-    /// Its steward had no slot, and none is expected before this.
+    /// The owner had no free slot, and none is expected before this moment.
     pub full_until: Option<Duration>,
 }
 
-/// How late a draft's first token is, beyond the estimate of its prefill and transfer.
+/// How much later than estimated a completion's first token arrives. The estimate covers prefill
+/// and transfer.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Overruns {
-    /// Counted from the grant of its decode slot.
+    /// Overrun counted from the grant of the decode slot.
     pub decode_granted: Overrun,
-    /// Counted from the grant of its prefill slot.
+    /// Overrun counted from the grant of the prefill slot, when the prefill is sent.
     pub prefill_started: Overrun,
-    /// The transfer alone.
+    /// Overrun of the transfer alone.
     pub transfer: Overrun,
 }
 
-/// What is known of endpoints.
+/// Health of endpoints as seen by this daemon.
 #[derive(Debug, Default)]
 pub struct Health {
-    /// By endpoint; without an entry nothing speaks against it.
+    /// Health by endpoint. An endpoint without a value is healthy.
     pub endpoints: BTreeMap<EndpointId, EndpointHealth>,
-    /// Where prompt prefixes are cached.
+    /// Endpoints that have prompt prefixes cached.
     pub prefixes: PrefixIndex,
-    /// By what is served.
+    /// Overruns by model or service.
     pub overruns: HashMap<EntryTarget, Overruns>,
 }
 
 impl Health {
-    /// Whether an endpoint may get work.
+    /// Whether an endpoint may get new work.
     #[must_use]
     pub fn is_usable(&self, endpoint: EndpointId) -> bool {
         self.endpoints.get(&endpoint).is_none_or(|k| !k.leaving && k.exclusion.is_none())
     }
 
-    /// What is known of an endpoint, to be changed.
+    /// Returns the health of an endpoint for modification.
     pub fn endpoint_mut(&mut self, endpoint: EndpointId) -> &mut EndpointHealth {
         self.endpoints.entry(endpoint).or_default()
     }
--- a/crates/basilbank_core/src/state/ledger.rs
+++ b/crates/basilbank_core/src/state/ledger.rs
@@ -1,4 +1,4 @@
-//! The slots of one endpoint, as its steward knows them.
+//! The slots of one endpoint, as its owner accounts for them.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -10,145 +10,149 @@
     state::{SlotKey, WaitQueue, Waiter},
 };
 
-/// How long the ends of leases are remembered, to be compared with late reports.
+/// How long the ends of leases are kept, to be compared with load reports that arrive late.
 const LEASE_END_RETENTION: Duration = Duration::from_secs(3);
 
-/// Without a late reservation for this long, it is not known any more how long one would wait.
+/// If no late reservation came for this long, the time that one would wait is unknown.
 const LATE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Leases that end well before one more extra slot is tried again.
+/// Number of leases that must end successfully before a withheld extra slot is granted again.
 const LEASES_TO_REGAIN_SLOT: u32 = 200;
 
-/// How long a stalled transfer speaks against an endpoint.
+/// How long a stalled transfer counts against an endpoint.
 const STALL_WINDOW: Duration = Duration::from_secs(5);
 
-/// How long before a prefill endpoint has done its work it is given more: the grant and the call
-/// take this long to reach it.
+/// How long before a prefill endpoint finishes its work the next slot is granted: the grant and the
+/// call take this long to reach it.
 const PREFILL_GRANT_LEAD: Duration = Duration::from_millis(20);
 
-/// KV caches that wait for the link of a prefill endpoint wait no longer than about this.
+/// Maximum time, approximately, that KV caches wait for the network link of a prefill endpoint.
 const MAX_LINK_WAIT: Duration = Duration::from_millis(150);
 
 /// A slot that is leased to a daemon.
 #[derive(Clone, PartialEq, Debug)]
 pub struct SlotLease {
-    /// The holder.
+    /// The daemon that holds the slot.
     pub vm: VmId,
-    /// The entry whose share it uses.
+    /// The entry whose share of the slots it uses.
     pub entry: EntryId,
-    /// Tokens expected to be held.
+    /// Number of tokens that the request is expected to hold.
     pub tokens: u32,
-    /// Tokens whose KV cache leaves the endpoint afterwards.
+    /// Number of tokens whose KV cache is transferred from the endpoint afterwards.
     pub transfer_tokens: u32,
-    /// When it was granted or adopted.
+    /// When it was granted, or adopted from a former owner.
     pub granted_at: Duration,
-    /// When it ends unless it is renewed.
+    /// When it expires unless it is renewed.
     pub expires_at: Duration,
-    /// When its prefill should be done.
+    /// Expected end of its prefill.
     pub done_at: Duration,
-    /// Its entry was above its owed share.
+    /// Whether its entry held its owed share already when the slot was granted.
     pub lent: bool,
-    /// When the holder was last told to give it back.
+    /// When the holder was last asked to give the slot back.
     pub preempted_at: Option<Duration>,
 }
 
-/// What a steward that is new to an endpoint still has to hear.
+/// Information that a new owner of an endpoint is still missing.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Rebuild {
-    /// Peers that have not told what they hold.
+    /// Peers that have not reported what they hold.
     pub missing: BTreeSet<VmId>,
-    /// The endpoint has not reported yet.
+    /// Whether the endpoint's load report is missing.
     pub needs_report: bool,
-    /// When it stops waiting for them.
+    /// When the owner stops waiting for the rest.
     pub deadline: Duration,
 }
 
-/// What the endpoint itself reported.
+/// Load that the endpoint itself reported.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ReportedLoad {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// When that was so.
+    /// When the load was measured.
     pub measured_at: Duration,
 }
 
-/// The slots of one endpoint.
+/// The slots of one endpoint, as its owner accounts for them.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Ledger {
-    /// Slots that the endpoint has.
+    /// Number of slots that may be leased, including extra slots.
     pub slots: u32,
-    /// Of these, slots that the endpoint does not have: what they are granted for waits at its door.
+    /// Number of slots in `slots` beyond those that the endpoint has. Calls that get one wait in
+    /// the endpoint's own queue.
     pub extra_slots: u32,
-    /// Of the extra slots, those that are not granted because it refused work as full.
+    /// Number of extra slots that are not granted because the endpoint refused work as full.
     pub withheld: u32,
-    /// Leases that ended since it last did, or since one was granted again.
+    /// Number of leases that ended successfully since the endpoint last refused work as full, or
+    /// since the last withheld slot was released.
     pub served_leases: u32,
-    /// Its work can go on elsewhere, so that slots can be taken back: it is a decode endpoint.
+    /// Whether its work can be resumed at another endpoint, so that slots can be preempted: it is a
+    /// decode endpoint.
     pub resumable: bool,
-    /// Tokens a second of a prefill endpoint; 0 elsewhere.
+    /// Prefill rate in tokens a second; 0 for other endpoints.
     pub prefill_rate: f64,
-    /// Until when the prefills that were granted keep the endpoint busy.
+    /// Until when the granted prefills keep the endpoint busy.
     pub busy_until: Duration,
-    /// Tokens a second that its link carries; 0 when that is not known.
+    /// Tokens a second whose KV cache its network link transfers; 0 when that is unknown.
     pub link_rate: f64,
-    /// Until when the KV caches of granted prefills keep its link busy.
+    /// Until when the KV caches of granted prefills keep the network link busy.
     pub link_busy_until: Duration,
-    /// The latest moment for which a timer is set.
+    /// Latest moment for which a timer was set.
     pub timer_at: Duration,
-    /// Leases.
+    /// Leases by slot.
     pub leases: BTreeMap<SlotKey, SlotLease>,
-    /// Reservations that wait.
+    /// Reservations that wait for a slot.
     pub waiting: WaitQueue,
-    /// Leases of each entry.
+    /// Number of leases by entry.
     pub used_slots: BTreeMap<EntryId, u32>,
-    /// Set while this steward is new.
+    /// Information that is still missing; set while this daemon is a new owner of the endpoint.
     pub rebuild: Option<Rebuild>,
-    /// The endpoint's last report.
+    /// The endpoint's last load report.
     pub reported_load: Option<ReportedLoad>,
-    /// Slots in use that no daemon is known to hold.
+    /// Number of slots in use that no daemon is known to hold.
     pub unaccounted: u32,
-    /// Transfers that stalled lately: when, for whom, and with which other endpoint.
+    /// Transfers that stalled lately: when, for which daemon, and with which other endpoint.
     pub stalls: Vec<(Duration, VmId, EndpointId)>,
     /// When leases ended lately, oldest first.
     pub lease_ends: VecDeque<Duration>,
-    /// Mean time between two slots' coming free, while some wait.
+    /// Mean time between two slots that come free while reservations wait.
     pub slot_interval: Option<Duration>,
-    /// When a late reservation was last granted; or when the first one came.
+    /// When a late reservation was last granted, or when the first one came.
     pub late_granted: Duration,
     /// When a late reservation last waited or was denied.
     pub late_requested: Duration,
-    /// When a slot last came free or a reservation was last withdrawn.
+    /// When a slot last came free or a waiting reservation was last withdrawn.
     pub last_change: Duration,
 }
 
 impl Ledger {
-    /// Slots that can be granted now.
+    /// Returns the number of slots that can be granted now.
     #[must_use]
     pub fn free_slots(&self) -> u32 {
         let held = self.leases.len() as u32;
         if self.rebuild.is_none() {
             return self.slots.saturating_sub(held + self.unaccounted + self.withheld);
         }
-        // What others hold is not known yet: only what the endpoint's own report proves free is
-        // granted, less what was granted since then.
+        // It is unknown what other daemons hold. So only slots that the endpoint's own report shows
+        // as free are granted, minus those granted since the report.
         let Some(seen) = self.reported_load else { return 0 };
         let since = self.leases.values().filter(|l| seen.measured_at < l.granted_at).count() as u32;
         self.slots.saturating_sub((seen.running + since).max(held))
     }
 
-    /// Ends the learning when all has been heard.
+    /// Ends the rebuild when no information is missing.
     pub fn finish_rebuild(&mut self) {
         if self.rebuild.as_ref().is_some_and(|l| l.missing.is_empty() && !l.needs_report) {
             self.rebuild = None;
         }
     }
 
-    /// When a prefill endpoint that has free slots may get its next prefill.
+    /// Returns when a prefill endpoint with free slots may get its next prefill.
     ///
-    /// It computes one prompt after the other however many it takes, so what it is given early waits
-    /// there, while another endpoint may come free first. It gets the next one just before it has
-    /// done all others, and not before its link can carry the KV cache off soon: prompts whose prefix
-    /// is cached are computed faster than they are sent, and what waits for the link is evicted.
+    /// The endpoint computes prompts one after the other, however many it accepts. A prompt that is
+    /// sent early waits there while another endpoint may become free first. So the next prompt is
+    /// sent just before the endpoint finishes its work. Neither is it sent before the network link
+    /// can transfer its KV cache soon: prompts with a cached prefix are computed faster than they
+    /// are transferred, and a KV cache that waits for the link is evicted.
     #[must_use]
     pub fn ready_at(&self) -> Duration {
         let work = if self.leases.is_empty() { Duration::ZERO } else { self.busy_until };
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Notes that a late reservation waits or was denied.
+    /// Records that a late reservation waits or was denied.
     pub fn record_late_wait(&mut self, now: Duration) {
         if self.late_requested + LATE_WINDOW < now {
             self.late_granted = now;
@@ -176,7 +180,7 @@
         self.late_requested = now;
     }
 
-    /// How long none of the late reservations that came was granted.
+    /// Returns for how long late reservations have come without one of them being granted.
     #[must_use]
     pub fn late_wait(&self, now: Duration) -> Duration {
         if self.late_requested + LATE_WINDOW < now {
@@ -185,14 +189,14 @@
         now.saturating_sub(self.late_granted)
     }
 
-    /// How long a new reservation would wait behind all others.
+    /// Returns how long a new reservation would wait behind all others.
     #[must_use]
     pub fn expected_wait(&self, now: Duration) -> Duration {
         let pace = self.slot_interval.unwrap_or_default();
         (pace * (1 + self.waiting.len() as u32)).max(self.late_wait(now))
     }
 
-    /// Adds a reservation that waits.
+    /// Adds a waiting reservation.
     pub fn enqueue(&mut self, waiter: Waiter, now: Duration) {
         if self.waiting.is_empty() {
             self.last_change = now;
@@ -200,7 +204,7 @@
         self.waiting.insert(waiter, now);
     }
 
-    /// Ends a lease.
+    /// Ends a lease and returns it.
     pub fn end_lease(&mut self, key: SlotKey, now: Duration) -> Option<SlotLease> {
         let lease = self.leases.remove(&key)?;
         self.lease_ends.push_back(now);
@@ -217,10 +221,10 @@
         Some(lease)
     }
 
-    /// The endpoint refused work as full for which a slot was granted.
+    /// Records that the endpoint refused work as full although a slot was granted for it.
     ///
-    /// Either it has no place at its door for extra work, or it runs something that no daemon is known
-    /// to hold: then the next report says how much.
+    /// Either the endpoint's own queue has no space for extra work, or the endpoint runs something
+    /// that no daemon is known to hold. In the second case its next load report says how much.
     pub fn record_full(&mut self) {
         if self.withheld < self.extra_slots {
             self.withheld += 1;
@@ -230,7 +234,7 @@
         }
     }
 
-    /// A lease ended well.
+    /// Records that a lease ended successfully.
     pub fn record_served(&mut self) {
         self.served_leases += 1;
         if LEASES_TO_REGAIN_SLOT <= self.served_leases {
@@ -239,8 +243,9 @@
         }
     }
 
-    /// Notes a stalled transfer. Whether the endpoint should rest: transfers have stalled with several
-    /// others, for several daemons unless there are few.
+    /// Records a stalled transfer with another endpoint. Returns whether the endpoint should be
+    /// excluded: its transfers have stalled with several other endpoints and, unless the fleet is
+    /// too small for that, for several daemons.
     pub fn record_stall(
         &mut self,
         now: Duration,
@@ -258,20 +263,21 @@
         should_exclude
     }
 
-    /// Computing that a prefill takes.
+    /// Returns the time that computing a lease's prefill takes.
     fn prefill_time(&self, lease: &SlotLease) -> Duration {
         time_at_rate(lease.tokens, self.prefill_rate)
     }
 
-    /// Time that its KV cache takes on the link.
+    /// Returns the time that the transfer of a lease's KV cache takes.
     fn transfer_time(&self, lease: &SlotLease) -> Duration {
         time_at_rate(lease.transfer_tokens, self.link_rate)
     }
 
-    /// Works out anew what the leases that are left keep busy.
+    /// Recomputes until when the remaining leases keep the endpoint and its link busy.
     ///
-    /// A lease may end unused, as its request got another slot first, or earlier than was thought.
-    /// Were its time still counted, the endpoint would be given nothing for as long and lie idle.
+    /// A lease may end unused because its request got another slot first, or earlier than
+    /// estimated. If its time were still counted, the endpoint would get no work for that time and
+    /// be idle.
     fn recompute_busy(&mut self, now: Duration) {
         let mut remaining: Vec<_> =
             self.leases.values().map(|l| (l.granted_at, l.done_at, l)).collect();
@@ -284,26 +290,27 @@
         (self.busy_until, self.link_busy_until) = (busy, link_busy);
     }
 
-    /// Leases that ended after a moment that is not long ago.
+    /// Returns the number of leases that ended since a moment within `LEASE_END_RETENTION`.
     #[must_use]
     pub fn leases_ended_since(&self, at: Duration) -> u32 {
         self.lease_ends.iter().filter(|ended| at <= **ended).count() as u32
     }
 
-    /// Mean time between two ends of leases lately.
+    /// Returns the recent mean time between the ends of two leases.
     #[must_use]
     pub fn lease_end_interval(&self, now: Duration) -> Duration {
         LEASE_END_RETENTION
             / self.leases_ended_since(now.saturating_sub(LEASE_END_RETENTION)).max(1)
     }
 
-    /// Leases of an entry.
+    /// Returns the number of slots that an entry uses.
     #[must_use]
     pub fn slots_used_by(&self, entry: EntryId) -> u32 {
         self.used_slots.get(&entry).copied().unwrap_or_default()
     }
 
-    /// Notes that a slot came free or that a reservation was withdrawn, for `pace`.
+    /// Records that a slot came free or that a reservation was withdrawn, and updates
+    /// `slot_interval`.
     pub fn record_change(&mut self, now: Duration) {
         const MEAN_WEIGHT: u32 = 8;
         const MAX_GAP: Duration = Duration::from_secs(5);
@@ -316,7 +323,7 @@
     }
 }
 
-/// The time that tokens take at a rate; none where the rate is not known.
+/// Returns the time for a number of tokens at a rate; zero when the rate is unknown.
 fn time_at_rate(tokens: u32, rate: f64) -> Duration {
     if 0.0 < rate { Duration::from_secs_f64(f64::from(tokens) / rate) } else { Duration::ZERO }
 }
--- a/crates/basilbank_core/src/state/limits.rs
+++ b/crates/basilbank_core/src/state/limits.rs
@@ -1,4 +1,4 @@
-//! Entries' limits, over all daemons.
+//! Limits of entries, enforced over all daemons.
 
 mod bucket;
 mod lease;
@@ -18,11 +18,12 @@
 };
 use crate::ids::EntryId;
 
-/// Entries' limits: what this daemon uses of them, and what it gives away as their steward.
+/// Limits of entries: what this daemon uses of them, and the limits that it shares out as their
+/// owner.
 #[derive(Debug, Default)]
 pub struct LimitTable {
-    /// Entries that this daemon's callers used lately.
+    /// Usage of the entries that this daemon's callers used lately.
     pub usages: HashMap<EntryId, Usage>,
-    /// Entries that this daemon shares out among all.
+    /// Limits that this daemon owns and shares out among all daemons.
     pub shared: HashMap<EntryId, SharedLimit>,
 }
--- a/crates/basilbank_core/src/state/limits/bucket.rs
+++ b/crates/basilbank_core/src/state/limits/bucket.rs
@@ -2,24 +2,24 @@
 
 use std::time::Duration;
 
-/// A bucket that fills at a rate and may be drawn below zero once, so that one large request can
-/// pass a small limit; the debt is filled up before the next one passes.
+/// A token bucket that may be drawn below zero once, so that one large request can pass a small
+/// limit. The debt must be refilled before the next request passes.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Bucket {
-    /// What is in it.
+    /// Current level.
     pub level: f64,
-    /// When it was last filled.
+    /// When the level was last updated.
     pub filled_at: Duration,
 }
 
 impl Bucket {
-    /// A full one.
+    /// Creates a full bucket.
     #[must_use]
     pub fn full(burst: f64, mono: Duration) -> Bucket {
         Bucket { level: burst, filled_at: mono }
     }
 
-    /// Fills it at `rate` a second up to `burst`.
+    /// Fills the bucket at `rate` a second up to `burst`.
     pub fn fill(&mut self, rate: f64, burst: f64, mono: Duration) {
         let passed = mono.saturating_sub(self.filled_at).as_secs_f64();
         self.filled_at = mono;
--- a/crates/basilbank_core/src/state/limits/lease.rs
+++ b/crates/basilbank_core/src/state/limits/lease.rs
@@ -1,4 +1,4 @@
-//! Parts of an entry's limit.
+//! Demand for an entry's limits, and shares of them, as they are sent between daemons.
 
 use std::time::Duration;
 
@@ -6,22 +6,23 @@
 
 use crate::catalogue::Limits;
 
-/// Requests a second are told in thousandths.
+/// Messages carry requests a second in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
 
-/// How much of an entry is wanted. All zero for a daemon that only tells what it took.
+/// Amount of an entry's limits that a daemon wants. All zero for a daemon that only reports what it
+/// took.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct LimitDemand {
     /// Requests a second.
     pub requests: f64,
     /// Tokens a second.
     pub tokens: f64,
-    /// Requests in progress, and those that wait to start.
+    /// Requests in progress and waiting to start.
     pub concurrent: u32,
 }
 
 impl LimitDemand {
-    /// What a message says.
+    /// Reads the demand from a message.
     #[must_use]
     pub fn from_ask(ask: &AskLimit) -> LimitDemand {
         LimitDemand {
@@ -31,14 +32,15 @@
         }
     }
 
-    /// Writes it into a message.
+    /// Writes the demand into a message.
     pub fn write_to(&self, ask: &mut AskLimit) {
         ask.requests = (self.requests * THOUSANDTHS).ceil() as u64;
         ask.tokens = self.tokens.ceil() as u64;
         ask.concurrent = u64::from(self.concurrent);
     }
 
-    /// The mean of two rates; requests in progress as the later one says.
+    /// Averages the rates of two demands. The number of concurrent requests is that of the later
+    /// one.
     #[must_use]
     pub fn average_with(&self, later: &LimitDemand) -> LimitDemand {
         LimitDemand {
@@ -48,14 +50,14 @@
         }
     }
 
-    /// Whether a lease is wanted.
+    /// Whether the daemon wants a lease.
     #[must_use]
     pub fn wants_lease(&self) -> bool {
         0.0 < self.requests
     }
 }
 
-/// A part of an entry's limits. Where the entry has no limit, the part is not used.
+/// A share of an entry's limits. A part without a limit is not used.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct LimitShare {
     /// Requests a second.
@@ -67,7 +69,7 @@
 }
 
 impl LimitShare {
-    /// A fraction of an entry's whole limits; of requests in progress at least one.
+    /// Takes a fraction of an entry's limits; at least one concurrent request.
     #[must_use]
     pub fn fraction(limits: &Limits, fraction: f64) -> LimitShare {
         LimitShare {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// What a message says.
+    /// Reads the share from a message.
     #[must_use]
     pub fn from_lease(lease: &LimitLease) -> LimitShare {
         LimitShare {
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Writes it into a message, rounded down so that all parts together stay within the whole.
+    /// Writes the share into a message. It is rounded down so that the sum of all shares stays
+    /// within the limit.
     pub fn write_to(&self, lease: &mut LimitLease, ttl: Duration) {
         lease.requests = (self.requests * THOUSANDTHS) as u64;
         lease.tokens = self.tokens as u64;
--- a/crates/basilbank_core/src/state/limits/rate_meter.rs
+++ b/crates/basilbank_core/src/state/limits/rate_meter.rs
@@ -1,13 +1,14 @@
-//! A rate that is forgotten exponentially.
+//! An exponentially decaying rate.
 
 use std::time::Duration;
 
-/// What is left of a sum when the next thing comes counts as nothing: a new run begins.
+/// If the decayed sum is below this, the next amount starts a new measurement.
 const NEGLIGIBLE_SUM: f64 = 0.05;
-/// A run counts as at least this share of the span, or its first call would look like a flood.
+/// A measurement counts as at least this fraction of the span. Otherwise its first call would look
+/// like a very high rate.
 const MIN_SPAN_FRACTION: f64 = 0.25;
 
-/// Measures how much comes in a second, over about the last `SPAN` seconds.
+/// Measures the rate over approximately the last `SPAN_SECONDS` seconds.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct RateMeter<const SPAN_SECONDS: u32> {
     sum: f64,
@@ -16,7 +17,7 @@
 }
 
 impl<const SPAN_SECONDS: u32> RateMeter<SPAN_SECONDS> {
-    /// Something comes.
+    /// Adds an amount.
     pub fn add(&mut self, amount: f64, mono: Duration) {
         let left = self.sum(mono);
         if left < NEGLIGIBLE_SUM {
@@ -26,21 +27,21 @@
         self.updated_at = mono;
     }
 
-    /// What came, the older the less.
+    /// Returns the sum of all amounts, decayed by age.
     #[must_use]
     pub fn sum(&self, mono: Duration) -> f64 {
         let passed = mono.saturating_sub(self.updated_at).as_secs_f64();
         self.sum * (-passed / f64::from(SPAN_SECONDS)).exp()
     }
 
-    /// How much comes in a second.
+    /// Returns the rate a second.
     #[must_use]
     pub fn rate(&self, mono: Duration) -> f64 {
         self.sum(mono) / f64::from(SPAN_SECONDS)
     }
 
-    /// How much comes in a second since it began to come, if that was not long ago: what had not
-    /// begun yet is not averaged in.
+    /// Returns the rate a second since the measurement began, if that was within the span: the time
+    /// before it is not averaged in.
     #[must_use]
     pub fn rate_since_start(&self, mono: Duration) -> f64 {
         let passed = mono.saturating_sub(self.started_at).as_secs_f64() / f64::from(SPAN_SECONDS);
--- a/crates/basilbank_core/src/state/limits/shared.rs
+++ b/crates/basilbank_core/src/state/limits/shared.rs
@@ -1,4 +1,4 @@
-//! One entry's limits, as its steward shares them out.
+//! One entry's limits, as its owner shares them out.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 };
 use crate::{catalogue::Limits, ids::VmId, reason::Refusal};
 
-/// A daemon's report is forgotten after this; those with requests in progress report more often.
+/// How long a daemon's report counts. Daemons with requests in progress report more often.
 const REPORT_RETENTION: Duration = Duration::from_secs(25);
-/// With what comes in this many seconds left over, there is plenty.
+/// If the amount for this many seconds is left, the limit has ample capacity.
 const AMPLE_SECONDS: f64 = 0.1;
-/// A lease is for at least this many requests while it lasts, or at once.
+/// Minimum number of requests of a lease, over its duration or at once.
 const MIN_LEASE_REQUESTS: f64 = 3.0;
-/// Seconds that a lease lasts.
+/// Duration of a lease in seconds.
 const LEASE_SECONDS: f64 = 2.0;
-/// Bursts are what comes in this many seconds, and at least two requests.
+/// A burst is the amount for this many seconds, but at least `MIN_BURST`.
 const BURST_SECONDS: f64 = 1.0;
-/// Least burst, in requests.
+/// Minimum burst in requests.
 const MIN_BURST: f64 = 2.0;
 
 /// One daemon's use of an entry.
@@ -26,22 +26,22 @@
 pub struct Holder {
     /// The daemon.
     pub vm: VmId,
-    /// What it wants.
+    /// Its demand.
     pub demand: LimitDemand,
-    /// What is leased to it.
+    /// Share that is leased to it.
     pub share: LimitShare,
-    /// Until when; past for one without a lease.
+    /// Expiry of the lease; in the past for a daemon without one.
     pub lease_until: Duration,
-    /// Requests that it has in progress.
+    /// Number of its requests in progress.
     pub running: u32,
-    /// When it reported last.
+    /// When it last reported.
     pub reported_at: Duration,
 }
 
-/// One entry's limits, as its steward shares them out.
+/// One entry's limits, as its owner shares them out.
 ///
-/// Daemons with frequent calls get leases; the rest of the limit is a bucket from which the calls of
-/// the others are taken one by one as they are told.
+/// Daemons with frequent calls get leases. The rest of the limit is a bucket from which the
+/// reported calls of all other daemons are taken one by one.
 #[derive(Clone, PartialEq, Debug)]
 pub struct SharedLimit {
     /// When the first daemon asked.
@@ -53,31 +53,31 @@
     sparse_tokens: RateMeter<2>,
 }
 
-/// What a steward goes by when it leases.
+/// Inputs of the decision on a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTerms<'a> {
-    /// The daemon.
+    /// The daemon that gets the lease.
     pub vm: VmId,
-    /// The limits.
+    /// Limits of the entry.
     pub limits: &'a Limits,
-    /// The limits over the number of listed VMs.
+    /// The limits divided by the number of listed VMs.
     pub per_vm: &'a LimitShare,
-    /// Most that may be leased.
+    /// Maximum that may be leased to the daemon.
     pub max_lease: Option<&'a LimitShare>,
-    /// The current moment.
+    /// The current time.
     pub mono: Duration,
 }
 
-/// What there is too little of.
+/// Which part of the limits is short.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Shortage {
     /// Requests or tokens a second.
     Rate,
-    /// Requests in progress.
+    /// Concurrent requests.
     Slots,
 }
 
-/// What is added up over all daemons.
+/// Sums over all daemons.
 #[derive(Clone, Copy, Default)]
 struct Total {
     requests: f64,
@@ -86,7 +86,7 @@
 }
 
 impl SharedLimit {
-    /// An entry of which nothing is known to be used.
+    /// Creates the limits of an entry without any known use.
     #[must_use]
     pub fn new(mono: Duration) -> SharedLimit {
         SharedLimit {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes a daemon's report in.
+    /// Records a daemon's report.
     pub fn update_holder(&mut self, vm: VmId, demand: LimitDemand, running: u32, mono: Duration) {
         self.holders.retain(|h| {
             mono < h.reported_at + REPORT_RETENTION && (0 < h.running || mono < h.lease_until)
@@ -117,7 +117,8 @@
             self.holders.len() - 1
         });
         let holder = &mut self.holders[index];
-        // Daemons ask when they have just had more calls than usual, so what they say is too high.
+        // Daemons ask after they have had more calls than usual, so the demand that they report is
+        // too high.
         let is_renewal = mono < holder.lease_until && holder.demand.wants_lease();
         holder.demand = if is_renewal { holder.demand.average_with(&demand) } else { demand };
         holder.running = running;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Fills what is not leased.
+    /// Fills the buckets at the rates that are not leased.
     pub fn fill(&mut self, limits: &Limits, mono: Duration) {
         let leased = self.leased(None, mono);
         let requests = (limits.requests - leased.requests).max(0.0);
@@ -137,13 +138,14 @@
         self.tokens.fill(tokens, burst(limits.tokens), mono);
     }
 
-    /// Takes what a daemon took beyond its lease, though it may be used up: it is owed.
+    /// Takes what a daemon used beyond its lease, even if the buckets are empty; they get negative
+    /// levels.
     pub fn overdraw(&mut self, requests: u32, tokens: i64) {
         self.requests.level -= f64::from(requests);
         self.tokens.level -= tokens as f64;
     }
 
-    /// Whether there is so much that bursts need no lease.
+    /// Whether there is ample capacity, so that bursts need no lease.
     #[must_use]
     pub fn is_ample(&self, limits: &Limits, mono: Duration) -> bool {
         let wanted = self.wanted(None, mono);
@@ -154,10 +156,10 @@
         (limits.requests <= 0.0 || requests) && (limits.tokens <= 0.0 || tokens)
     }
 
-    /// Takes what a daemon took without a lease; tokens given back are negative.
+    /// Takes what a daemon used without a lease; returned tokens are negative.
     ///
     /// # Errors
-    /// What is used up. Nothing is taken then.
+    /// The part of the limits that is used up. Nothing is taken in this case.
     pub fn take(
         &mut self,
         limits: &Limits,
@@ -188,9 +190,9 @@
         Ok(())
     }
 
-    /// Leases a daemon its part by what it wants, within what is not leased to others, and at most
-    /// `most`; `None` when that would be too little to be worth it: parts that are smaller than a few
-    /// requests lie idle at one daemon while another's callers are refused.
+    /// Grants a daemon a lease according to its demand, within what is not leased to others and at
+    /// most `LeaseTerms::max_lease`. Returns `None` when the lease would be too small: leases of
+    /// less than a few requests are idle at one daemon while another one's callers are refused.
     pub fn lease(&mut self, terms: &LeaseTerms<'_>, until: Duration) -> Option<LimitShare> {
         let all = self.portions(terms)?;
         let mean_tokens = all.tokens.demand / all.requests.demand.max(f64::MIN_POSITIVE);
@@ -204,8 +206,8 @@
         Some(self.grant(terms.vm, all.requests.lease_size(), all.tokens.lease_size(), slots, until))
     }
 
-    /// Leases a daemon its part however small, while more is wanted than there is. Its calls are
-    /// few, so the lease has to last until one of them comes.
+    /// Grants a daemon a ration, however small, while demand exceeds the limit. The daemon has few
+    /// calls, so the ration must last until one of them comes.
     pub fn ration(&mut self, terms: &LeaseTerms<'_>, until: Duration) -> LimitShare {
         let Some(all) = self.portions(terms) else { return LimitShare::default() };
         let running = self.running_requests(terms.vm);
@@ -214,7 +216,7 @@
         self.grant(terms.vm, all.requests.ration_size(), all.tokens.ration_size(), slots, until)
     }
 
-    /// Whether more is wanted than there is.
+    /// Returns which part of the limits is short, if the demand is too high for the limits.
     #[must_use]
     pub fn shortage(&self, limits: &Limits, mono: Duration) -> Option<Shortage> {
         if 0 < limits.concurrent && f64::from(limits.concurrent) <= self.committed(None, mono) {
@@ -290,7 +292,8 @@
         })
     }
 
-    /// Whether nearly all is leased, so that a daemon that wants more should ask again soon.
+    /// Whether nearly all of a limit is leased, so that a daemon that needs more should ask again
+    /// soon.
     #[must_use]
     pub fn is_nearly_leased(&self, limits: &Limits, mono: Duration) -> bool {
         let leased = self.leased(None, mono);
@@ -299,20 +302,20 @@
         is_gone(limits.requests, leased.requests) || is_gone(limits.tokens, leased.tokens)
     }
 
-    /// Whether nobody uses it any more.
+    /// Whether no daemon uses the entry any more.
     #[must_use]
     pub fn is_idle(&self, mono: Duration) -> bool {
         self.holders.iter().all(|h| h.reported_at + REPORT_RETENTION < mono)
     }
 
-    /// Daemons that use it.
+    /// Returns the daemons that use the entry.
     #[must_use]
     pub fn holders(&self) -> &[Holder] {
         &self.holders
     }
 
-    /// What is wanted by those with leases, by `but` without one perhaps, and by those whose calls
-    /// are taken one by one.
+    /// Sums the demand of daemons with leases, of `include` even if it has none, and of daemons
+    /// whose calls are taken one by one.
     fn wanted(&self, include: Option<VmId>, mono: Duration) -> Total {
         let mut total = Total {
             requests: self.sparse_requests.rate(mono),
@@ -338,7 +341,7 @@
         total
     }
 
-    /// Requests that are in progress or may be started by lease.
+    /// Returns the number of requests that are in progress or may be started under leases.
     fn committed(&self, except: Option<VmId>, mono: Duration) -> f64 {
         let others = self.holders.iter().filter(|h| Some(h.vm) != except);
         let each = others.map(|h| {
--- a/crates/basilbank_core/src/state/limits/usage.rs
+++ b/crates/basilbank_core/src/state/limits/usage.rs
@@ -1,49 +1,49 @@
-//! What this daemon uses of one entry.
+//! This daemon's use of one entry's limits.
 
 use std::time::Duration;
 
 use super::{Bucket, LimitDemand, LimitShare, RateMeter};
 use crate::{catalogue::Limits, ids::VmId, reason::Refusal};
 
-/// Calls within about ten seconds from which a daemon wants a lease. With fewer a lease would lie
-/// idle for most of its time, and 10,000 entries in sparse use would cost more messages in leases
-/// than in requests.
+/// Number of calls within about ten seconds from which a daemon wants a lease. With fewer calls, a
+/// lease would be idle most of its time, and 10,000 entries in sparse use would cost more messages
+/// for leases than for requests.
 const MIN_CALLS_FOR_LEASE: f64 = 1.5;
-/// With fewer calls than this within about two seconds, they are averaged over ten.
+/// If fewer calls than this came within about two seconds, they are averaged over ten seconds.
 const FEW_CALLS: f64 = 3.0;
-/// Rations may save up this many requests, since a call comes only some time after the first one is
-/// saved up.
+/// Number of requests that any ration may save up, since a call comes only some time after the
+/// first one is saved up.
 const MAX_SAVED_REQUESTS: f64 = 2.0;
-/// And as many as come in this many seconds.
+/// A ration may save up the requests of this many seconds, if these are more.
 const MAX_SAVED_SECONDS: f64 = 5.0;
-/// What a ration saved up is kept for this long without one.
+/// How long the savings of a ration are kept without a new ration.
 const RATION_MEMORY: Duration = Duration::from_secs(60);
-/// Least burst of a lease in requests.
+/// Minimum burst of a lease in requests.
 const MIN_LEASE_BURST: f64 = 3.0;
-/// Bursts are what comes in this many seconds.
+/// A burst is the amount for this many seconds.
 const BURST_SECONDS: f64 = 1.0;
 
-/// What this daemon uses of one entry.
+/// This daemon's use of one entry's limits.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Usage {
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub running: u32,
-    /// Part of the limits that is leased to this daemon, and until when.
+    /// Share of the limits that is leased to this daemon, and the expiry of the lease.
     pub lease: Option<(LimitShare, Duration)>,
-    /// Until when the steward takes this daemon's calls one by one, though they come often: no lease
-    /// is worth it.
+    /// Until when the owner accepts this daemon's frequent calls one by one, because a lease would
+    /// be too small.
     pub trusted_until: Duration,
-    /// The steward has plenty: what goes beyond the lease may be taken and told.
+    /// Whether the owner has ample capacity: calls beyond the lease may be taken and reported.
     pub is_ample: bool,
-    /// The steward that was asked last, and when.
+    /// The owner that was last asked, and when.
     pub last_asked: Option<(VmId, Duration)>,
-    /// Requests taken without a lease that the steward does not know of.
+    /// Requests taken without a lease that are not reported to the owner.
     pub unreported_requests: u32,
-    /// Tokens taken, less those given back, without a lease, that it does not know of.
+    /// Tokens taken without a lease, minus returned ones, that are not reported to the owner.
     pub unreported_tokens: i64,
-    /// The number of requests in progress that the steward was told.
+    /// Number of requests in progress that was last reported to the owner.
     pub reported_running: u32,
-    /// When something last happened.
+    /// When the entry was last used.
     pub last_used: Duration,
     rationed_at: Option<Duration>,
     requests: Bucket,
@@ -54,7 +54,7 @@
 }
 
 impl Usage {
-    /// An entry that was not used lately.
+    /// Creates the usage of an entry that was not used lately.
     #[must_use]
     pub fn new(share: &LimitShare, mono: Duration) -> Usage {
         Usage {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A call came, whatever becomes of it.
+    /// Records a call, whether or not it is accepted.
     pub fn record_call(&mut self, tokens: u32, mono: Duration) {
         self.last_used = mono;
         self.calls.add(1.0, mono);
@@ -84,10 +84,10 @@
         self.wanted_tokens.add(f64::from(tokens), mono);
     }
 
-    /// Takes one request from a share. Nothing is taken when a part of it is used up.
+    /// Takes one request from a share. Nothing is taken when a part of the share is used up.
     ///
     /// # Errors
-    /// What is used up.
+    /// The part that is used up.
     pub fn take(
         &mut self,
         limits: &Limits,
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// An ended request used fewer tokens than it took.
+    /// Returns the tokens that an ended request took but did not use.
     pub fn give_back(&mut self, unused: u32) {
         self.running = self.running.saturating_sub(1);
         if self.lease.is_some() {
@@ -120,7 +120,8 @@
         }
     }
 
-    /// A lease came. What was taken without one was told to the steward, so no debt is left.
+    /// Sets a lease. What was taken without one was reported to the owner, so the buckets start
+    /// without debt.
     pub fn set_lease(&mut self, share: LimitShare, until: Duration, mono: Duration) {
         let former = self.lease.map_or(share, |(former, _)| former);
         self.fill(&former, mono);
@@ -132,9 +133,9 @@
         self.lease = Some((share, until));
     }
 
-    /// What there is is rationed. Nothing is saved up from before the shortage but the fraction
-    /// `chance` of one request: it differs from daemon to daemon, so that they do not all wait for
-    /// their first request and then let it through together.
+    /// Sets a ration. Nothing is saved up from before the shortage except the fraction `chance` of
+    /// one request. The fraction differs between daemons, so that they do not all save up their
+    /// first request and let it through at the same time.
     pub fn set_ration(&mut self, share: LimitShare, until: Duration, chance: f64, mono: Duration) {
         let is_new = self.rationed_at.is_none_or(|at| at + RATION_MEMORY < mono);
         self.rationed_at = Some(mono);
@@ -149,13 +150,13 @@
         self.lease = Some((share, until));
     }
 
-    /// A call that the steward refused runs all the same, since it was sent before.
+    /// Takes a call that the owner refused but that runs anyway, since it was sent before.
     pub fn overdraw(&mut self, tokens: u32) {
         self.requests.level -= 1.0;
         self.tokens.level -= f64::from(tokens);
     }
 
-    /// Drops what has run out.
+    /// Drops the lease if it has expired.
     pub fn expire_lease(&mut self, mono: Duration) {
         self.lease = self.lease.filter(|(_, until)| mono < *until);
     }
@@ -166,7 +167,7 @@
         MIN_CALLS_FOR_LEASE <= self.calls.sum(mono)
     }
 
-    /// What this daemon's callers want of the entry. Few calls are averaged over a longer time.
+    /// Returns the demand of this daemon's callers. Few calls are averaged over a longer time.
     #[must_use]
     pub fn demand(&self, mono: Duration) -> LimitDemand {
         let few = self.wanted_requests.sum(mono) < FEW_CALLS;
@@ -178,7 +179,7 @@
         LimitDemand { requests: requests.max(0.001), tokens, concurrent }
     }
 
-    /// Whether calls come and the lease is nearly used up, so that more should be asked for.
+    /// Whether the lease is nearly used up, so that more should be asked for.
     #[must_use]
     pub fn needs_more(&self, limits: &Limits) -> bool {
         let Some((share, _)) = self.lease else { return false };
@@ -187,13 +188,13 @@
         requests || tokens || (0 < limits.concurrent && share.concurrent <= self.running)
     }
 
-    /// Whether what it has is a ration.
+    /// Whether the current lease is a ration.
     #[must_use]
     pub fn is_rationed(&self) -> bool {
         self.lease.is_some() && self.rationed_at.is_some()
     }
 
-    /// Whether the steward must be told of something that counts by the entry's limits.
+    /// Whether the owner must be informed of something that counts towards the entry's limits.
     #[must_use]
     pub fn has_unreported(&self, limits: &Limits) -> bool {
         let requests = 0.0 < limits.requests && self.unreported_requests != 0;
@@ -201,7 +202,7 @@
         requests || tokens || (0 < limits.concurrent && self.running != self.reported_running)
     }
 
-    /// Whether it can be forgotten.
+    /// Whether the usage can be dropped.
     #[must_use]
     pub fn is_idle(&self, limits: &Limits, idle_for: Duration, mono: Duration) -> bool {
         self.running == 0 && !self.has_unreported(limits) && self.last_used + idle_for < mono
--- a/crates/basilbank_core/src/state/members.rs
+++ b/crates/basilbank_core/src/state/members.rs
@@ -1,4 +1,4 @@
-//! Peers: who may exist, and who does.
+//! Membership: which VMs the system has, and which of them are alive.
 
 mod departed;
 mod member;
@@ -19,30 +19,31 @@
 pub use self::{member::Member, member_count::MemberCount, own_status::OwnStatus, rank::rank};
 use crate::{ids::VmId, state::Local};
 
-/// VMs that vote on one key.
+/// Number of VMs that vote on one idempotency key.
 pub const VOTERS_PER_KEY: usize = 3;
 
 /// All VMs on the platform's list, and which of them are alive.
 ///
-/// The list says who may exist; heartbeats say who does. Before a list is known, `all` has this
-/// daemon's own VM only, and the daemon decides nothing.
+/// The list says which VMs may exist, heartbeats say which are alive. Before a list is known, `all`
+/// has only this daemon's own VM, and the daemon decides nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    /// This daemon's own VM.
+    /// This daemon's VM.
     pub own: VmId,
-    /// The listed VMs, this daemon's own too if it is listed.
+    /// The listed VMs, including this daemon's own if it is listed.
     pub all: BTreeMap<VmId, Member>,
-    /// Whether this daemon may decide for others.
+    /// State that tells whether this daemon may decide as an owner.
     pub own_status: OwnStatus,
-    /// Rises whenever a member comes, dies, restarts or starts to leave.
+    /// Version of the live members: rises whenever a member comes up, dies, restarts or starts to
+    /// leave.
     pub epoch: u64,
-    /// When that was last.
+    /// When `epoch` last rose.
     pub changed_at: Duration,
-    /// Heartbeats that this daemon has sent.
+    /// Number of heartbeat rounds of this daemon.
     pub heartbeat_counter: u64,
-    /// A heartbeat has come since the process started.
+    /// Whether a heartbeat was received since the process started.
     pub has_heartbeat: bool,
-    /// When a peer was last asked for all its records.
+    /// When a peer was last asked for all its member records.
     pub probed_at: Option<Duration>,
     listed: Vec<VmId>,
     live: Vec<VmId>,
@@ -53,7 +54,7 @@
 }
 
 impl Members {
-    /// Knows only this daemon.
+    /// Creates the membership that has only this daemon.
     #[must_use]
     pub fn new(local: &Local, mono: Duration) -> Members {
         let own = Member::new_own(local.data_centre, local.incarnation, mono);
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes over a VM list. Members that stay keep what is known of them.
+    /// Applies a VM list. Members that stay keep their state.
     pub fn apply_list(&mut self, vms: &[VmRecord]) {
         let mut old = std::mem::take(&mut self.all);
         for record in vms {
@@ -80,9 +81,9 @@
             member.apply_record(record);
             self.all.insert(vm, member);
         }
-        // A VM that was replaced starts before the lagging list has it again. A daemon that forgot
-        // itself meanwhile would count as dead in its own eyes for ever: its peers would name it as
-        // a steward, and it would refuse to be one.
+        // A replaced VM may start before the list, which lags, contains it again. If the daemon
+        // forgot its own state in the meantime, it would consider itself dead for ever: its peers
+        // would name it as an owner, and it would refuse to be one.
         self.unlisted_own = old.remove(&self.own).or(self.unlisted_own.take());
         for (vm, member) in old {
             self.departed.insert(vm, member);
@@ -92,25 +93,27 @@
         self.refresh();
     }
 
-    /// Call it whenever a member came, died, restarted or started to leave.
+    /// Updates everything that is derived from the live members. Must be called whenever a member
+    /// comes up, dies, restarts or starts to leave.
     pub fn refresh(&mut self) {
         self.epoch += 1;
         self.changed_at = self.own_status.last_event;
         let live = self.all.iter().filter(|(_, m)| m.live);
         self.live = live.clone().map(|(vm, _)| *vm).collect();
         let staying: Vec<_> = live.filter(|(_, m)| !m.is_leaving()).map(|(vm, _)| *vm).collect();
-        // When all are leaving, the last ones still decide for the requests they have in progress.
+        // When all members are leaving, they still decide for the requests that they have in
+        // progress.
         self.candidates = if staying.is_empty() { self.live.clone() } else { staying };
     }
 
-    /// Whether this daemon may decide as a steward: it knows the VM list, was not paused lately and
-    /// is not cut off. A daemon that is alone on the list may.
+    /// Whether this daemon may decide as an owner: it knows the VM list, was not paused lately and
+    /// is not isolated. A daemon that is the only one on the list may decide.
     #[must_use]
     pub fn may_decide(&self) -> bool {
         self.own_status.may_decide()
     }
 
-    /// Whether a VM has been heard lately.
+    /// Whether a VM has been in contact lately, directly or through peers.
     #[must_use]
     pub fn is_live(&self, vm: VmId) -> bool {
         vm == self.own || self.all.get(&vm).is_some_and(|m| m.live)
@@ -122,15 +125,15 @@
         self.own_status.has_list && self.all.contains_key(&vm)
     }
 
-    /// The highest incarnation of a VM that was heard of; also of one that left the list lately.
+    /// Returns the highest known incarnation of a VM, also of one that left the list lately.
     #[must_use]
     pub fn incarnation(&self, vm: VmId) -> Option<u64> {
         let member = self.all.get(&vm).or_else(|| self.departed.get(vm))?;
         (member.incarnation != 0).then_some(member.incarnation)
     }
 
-    /// Time since the last news of a VM, time in which this daemon itself was paused not counted;
-    /// `None` for one that was never heard.
+    /// Returns the time since a VM was last seen, without pauses of this process; `None` for a VM
+    /// that was never seen.
     #[must_use]
     pub fn silent_for(&self, vm: VmId) -> Option<Duration> {
         if vm == self.own {
@@ -140,41 +143,41 @@
         member.last_seen.map(|seen| self.own_status.last_event.saturating_sub(seen))
     }
 
-    /// The VMs that vote on a key: those that rank highest on the platform's list, heard or not, so
-    /// that both sides of a partition ask the same ones.
+    /// Returns the VMs that vote on a key: those that rank highest on the platform's list, alive or
+    /// not, so that both sides of a partition ask the same VMs.
     #[must_use]
     pub fn voters(&self, subject: u64) -> Vec<VmId> {
         top_ranked::<VOTERS_PER_KEY>(self.listed.iter().copied(), subject)
     }
 
-    /// The live member that decides for a subject: the one that ranks highest by rendezvous hashing,
-    /// so that a member's coming or going moves only its own subjects. Members that are leaving
-    /// decide only when there are no others.
+    /// Returns the owner of a subject: the live member that ranks highest by rendezvous hashing, so
+    /// that a member that comes or goes moves only its own subjects. Members that are leaving own
+    /// subjects only if there are no others.
     #[must_use]
     pub fn owner(&self, subject: u64) -> Option<VmId> {
         self.owners.get(subject, self.epoch, || highest_ranked(&self.candidates, subject))
     }
 
-    /// The live members that may be stewards, sorted.
+    /// Returns the live members that may be owners, sorted.
     #[must_use]
     pub fn candidates(&self) -> &[VmId] {
         &self.candidates
     }
 
-    /// The live members, leaving or not, sorted.
+    /// Returns the live members, leaving or not, sorted.
     #[must_use]
     pub fn live(&self) -> &[VmId] {
         &self.live
     }
 
-    /// The listed VMs, sorted.
+    /// Returns the listed VMs, sorted.
     #[must_use]
     pub fn listed(&self) -> &[VmId] {
         &self.listed
     }
 
-    /// Counts the members that may decide, and those of them for which `heard` holds. This daemon's
-    /// own is always heard.
+    /// Counts the members that are not leaving, and those of them for which `is_in_contact` holds.
+    /// This daemon always counts as in contact.
     #[must_use]
     pub fn count_members(&self, is_in_contact: impl Fn(&Member) -> bool) -> MemberCount {
         let mut count = MemberCount::default();
@@ -185,7 +188,8 @@
         count
     }
 
-    /// Moves the times of last news on by a pause, in which nothing could be heard.
+    /// Moves the times at which members were last seen on by a pause of this process, in which
+    /// nothing could be received.
     pub fn shift_times(&mut self, pause: Duration) {
         for member in self.all.values_mut() {
             member.last_seen = member.last_seen.map(|seen| seen + pause);
@@ -193,7 +197,8 @@
         self.departed.shift_times(pause);
     }
 
-    /// Whether a message of this incarnation is current: none with a higher one was seen.
+    /// Whether a message from this incarnation is current: no higher incarnation of the VM is
+    /// known.
     #[must_use]
     pub fn is_current(&self, vm: VmId, incarnation: u64) -> bool {
         self.incarnation(vm).is_none_or(|known| known <= incarnation)
--- a/crates/basilbank_core/src/state/members/member.rs
+++ b/crates/basilbank_core/src/state/members/member.rs
@@ -6,45 +6,45 @@
 
 use crate::ids::DataCentreId;
 
-/// What is known of one VM of the system.
+/// State of one VM of the system.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Member {
-    /// It has been heard lately.
+    /// Whether it has been in contact lately.
     pub live: bool,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where it hears peers, `ip:port`.
+    /// Address at which it receives peers' messages, `ip:port`.
     pub address: String,
-    /// The platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub listed_leaving: bool,
-    /// It says that it is shutting down.
+    /// Whether it has announced that it is shutting down.
     pub announced_leaving: bool,
     /// Its incarnation; 0 while it is unknown.
     pub incarnation: u64,
-    /// Its highest heartbeat counter that was heard of.
+    /// Its highest known heartbeat counter.
     pub heartbeat_counter: u64,
-    /// When news of it came last, on the monotonic clock.
+    /// When it was last seen, on the monotonic clock.
     pub last_seen: Option<Duration>,
-    /// How many more heartbeats shall carry its full record.
+    /// Number of further heartbeats that carry its full record.
     pub record_sends: u32,
-    /// A peer has beats of another incarnation of it.
+    /// Whether a peer's member summary has another incarnation of it.
     pub is_mismatched: bool,
 }
 
 impl Member {
-    /// This daemon's own entry.
+    /// Creates the state of this daemon's own VM.
     #[must_use]
     pub fn new_own(data_centre: DataCentreId, incarnation: u64, mono: Duration) -> Member {
         Member { live: true, data_centre, incarnation, last_seen: Some(mono), ..Member::default() }
     }
 
-    /// Whether it takes no new work and no stewardship.
+    /// Whether it accepts no new work and owns no subjects.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.listed_leaving || self.announced_leaving
     }
 
-    /// Takes over what the platform's list says.
+    /// Applies the record of the platform's list.
     pub fn apply_record(&mut self, record: &VmRecord) {
         self.data_centre = DataCentreId::of(&record.data_centre);
         self.address.clone_from(&record.address);
--- a/crates/basilbank_core/src/state/members/member_count.rs
+++ b/crates/basilbank_core/src/state/members/member_count.rs
@@ -1,17 +1,18 @@
 //! Counts of members.
 
-/// How many members there are, and how many of them are heard.
+/// Number of members, and of those in contact.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct MemberCount {
-    /// Those that are heard.
+    /// Members in contact.
     pub in_contact: usize,
-    /// All of them.
+    /// All members.
     pub total: usize,
 }
 
 impl MemberCount {
-    /// Whether fewer than half are heard. Exactly half is not a minority: a fleet in two equal places
-    /// that lose each other goes on in both, and endpoints judge between two stewards.
+    /// Whether fewer than half of the members are in contact. Exactly half is not a minority: a
+    /// fleet in two places of equal size that lose contact continues in both, and the endpoints
+    /// decide between two owners.
     #[must_use]
     pub fn is_minority(&self) -> bool {
         self.in_contact * 2 < self.total
--- a/crates/basilbank_core/src/state/members/own_status.rs
+++ b/crates/basilbank_core/src/state/members/own_status.rs
@@ -1,37 +1,38 @@
-//! Whether this daemon's own view can be trusted.
+//! Whether this daemon's own state is current enough to decide.
 
 use std::time::Duration;
 
-/// This daemon's own state among its peers.
+/// This daemon's own status among its peers.
 ///
-/// A process that was stopped, or that is cut off, still believes that it decides for its subjects
-/// while another daemon has taken over. Both would then give the same slot away. One notices it at
-/// endpoints that refuse as full. So a daemon that slept, or hears fewer than half of the listed
-/// members, decides nothing until it has heard its peers again.
+/// A process that was stopped, or that lost contact, still believes that it owns its subjects while
+/// another daemon has taken them over. Both would grant the same slot, which shows as endpoints
+/// that refuse work as full. So a daemon that was paused, or that is in contact with fewer than
+/// half of the listed members, decides nothing until it is in contact with its peers again.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct OwnStatus {
-    /// A VM list is known.
+    /// Whether a VM list is known.
     pub has_list: bool,
-    /// Fewer than half of the listed members are heard.
+    /// Whether fewer than half of the listed members are in contact.
     pub is_isolated: bool,
-    /// The daemon woke from a pause, or started, and has not heard half of its peers since. News
-    /// counts from this moment on, which is a little after the waking: what was received during the
-    /// pause is old.
+    /// Set after a start or a pause until half of the peers have been in contact. Only contact
+    /// after this moment counts. It is slightly later than the end of the pause, because messages
+    /// that were received during the pause are old.
     pub rejoining_since: Option<Duration>,
-    /// When the last event came.
+    /// When the last event was handled.
     pub last_event: Duration,
-    /// Since when the daemon may decide; a subject's state from before is stale.
+    /// Since when the daemon may decide. State of its subjects from before this moment is stale.
     pub deciding_since: Duration,
 }
 
 impl OwnStatus {
-    /// A daemon that has just started and has heard nobody.
+    /// Creates the status of a daemon that has just started and has not been in contact with any
+    /// peer.
     #[must_use]
     pub fn new(mono: Duration) -> OwnStatus {
         OwnStatus { rejoining_since: Some(mono), last_event: mono, ..OwnStatus::default() }
     }
 
-    /// Whether the daemon may decide for others.
+    /// Whether the daemon may decide as an owner.
     #[must_use]
     pub fn may_decide(&self) -> bool {
         self.has_list && !self.is_isolated && self.rejoining_since.is_none()
--- a/crates/basilbank_core/src/state/members/owner_cache.rs
+++ b/crates/basilbank_core/src/state/members/owner_cache.rs
@@ -1,13 +1,14 @@
-//! Stewards found before.
+//! Cache of owners by subject.
 
 use std::cell::Cell;
 
 use crate::ids::VmId;
 
-/// Places; more than twice the endpoints that the design aims at.
+/// Number of cache entries; more than twice the number of endpoints that the system is designed
+/// for.
 const CACHE_SIZE: usize = 2048;
 
-/// One answer, with the epoch of the members that it holds for.
+/// The owner of one subject, and the epoch of the members for which it is valid.
 #[derive(Clone, Copy, Debug, Default)]
 struct CachedOwner {
     subject: u64,
@@ -15,11 +16,11 @@
     vm: VmId,
 }
 
-/// Stewards that were found since the live members last changed. A subject has one place, and takes
-/// it from another.
+/// Owners that were computed since the live members last changed. The cache is direct-mapped:
+/// subjects that share an entry replace each other.
 ///
-/// Each request asks for several stewards and each look at what is due for hundreds; among 320
-/// members that was half of all the time that decisions took.
+/// Each request needs several owners, and each check of what is due needs hundreds. With 320
+/// members, computing them took half of the time of all decisions.
 #[derive(Clone, Debug)]
 pub struct OwnerCache {
     entries: Vec<Cell<CachedOwner>>,
@@ -32,7 +33,8 @@
 }
 
 impl OwnerCache {
-    /// The steward of a subject, by `find` if it was not found before. Epochs start at 1.
+    /// Returns the owner of a subject; computes it with `find` if it is not cached. Epochs start at
+    /// 1.
     pub fn get(
         &self,
         subject: u64,
--- a/crates/basilbank_core/src/state/members/rank.rs
+++ b/crates/basilbank_core/src/state/members/rank.rs
@@ -4,20 +4,20 @@
 
 use crate::ids::VmId;
 
-/// A VM's rank for a subject. Names are hashed already, so mixing two numbers is enough; it costs
-/// about a nanosecond, which matters with hundreds of members on the path of each request.
+/// Returns a VM's rank for a subject. VM ids are hashes already, so mixing two numbers is enough.
+/// It takes about a nanosecond, which matters with hundreds of members on the path of each request.
 #[must_use]
 pub fn rank(vm: VmId, subject: u64) -> u64 {
     mix(vm.0 ^ mix(subject))
 }
 
-/// The VM with the highest rank for a subject.
+/// Returns the VM with the highest rank for a subject.
 pub(super) fn highest_ranked(vms: &[VmId], subject: u64) -> Option<VmId> {
     let salt = mix(subject);
     vms.iter().copied().max_by_key(|vm| mix(vm.0 ^ salt))
 }
 
-/// The `N` VMs with the highest ranks for a subject, highest first.
+/// Returns the `N` VMs with the highest ranks for a subject, highest first.
 pub(super) fn top_ranked<const N: usize>(
     vms: impl Iterator<Item = VmId>,
     subject: u64,
@@ -34,7 +34,7 @@
     best.into_iter().map(|(_, vm)| vm).collect()
 }
 
-/// The finalizer of MurmurHash3: each bit of the input moves each bit of the output.
+/// The finalizer of MurmurHash3: each bit of the input affects each bit of the output.
 fn mix(mut x: u64) -> u64 {
     x ^= x >> 33;
     x = x.wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/crates/basilbank_core/src/state/orders.rs
+++ b/crates/basilbank_core/src/state/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints: what endpoints serve, and what is being changed.
+//! Orders to endpoints: what they serve, and which changes are in progress.
 
 mod rollout;
 mod serving;
@@ -11,28 +11,28 @@
 };
 use crate::ids::{EndpointId, ModelId};
 
-/// A model's version as the catalogue has it.
+/// A model's version in the catalogue, and when it changed.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct ModelChange {
     /// The version.
     pub version: String,
     /// The adapter.
     pub adapter: String,
-    /// When this daemon saw it change.
+    /// When this daemon learned of the change.
     pub seen_at: Duration,
 }
 
-/// Orders to endpoints: what endpoints serve, and what is being changed.
+/// Orders to endpoints: what they serve, and which changes are in progress.
 #[derive(Debug, Default)]
 pub struct Orders {
-    /// What endpoints last reported.
+    /// What the endpoints last reported to serve.
     pub reports: BTreeMap<EndpointId, ServingStatus>,
-    /// Endpoints that this daemon is the steward of and that serve something else than they should.
+    /// Rollouts at endpoints that this daemon owns and that serve something else than they should.
     pub rollouts: BTreeMap<EndpointId, Rollout>,
-    /// Since when this daemon has been an endpoint's steward without a gap.
+    /// Since when this daemon has owned an endpoint without interruption.
     pub owned_since: BTreeMap<EndpointId, Duration>,
     /// When each model's version or adapter last changed.
     pub model_changes: BTreeMap<ModelId, ModelChange>,
-    /// The catalogue revision that `changes` follows.
+    /// The catalogue revision that `model_changes` is based on.
     pub revision: u64,
 }
--- a/crates/basilbank_core/src/state/orders/rollout.rs
+++ b/crates/basilbank_core/src/state/orders/rollout.rs
@@ -1,47 +1,47 @@
-//! An endpoint on its way to another version.
+//! Rollout of a model version to one endpoint.
 
 use std::time::Duration;
 
 use crate::state::ServingTarget;
 
-/// An endpoint on its way to another version, adapter, model or role.
+/// Change of an endpoint to another version, adapter, model or role.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Rollout {
-    /// What it should serve.
+    /// What the endpoint should serve.
     pub target: ServingTarget,
-    /// How far it is.
+    /// Stage of the rollout.
     pub stage: RolloutStage,
-    /// Since when.
+    /// When the stage began.
     pub stage_since: Duration,
 }
 
-/// How far an endpoint is.
+/// Stage of a rollout.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RolloutStage {
-    /// It serves the old version until its turn has come.
+    /// The endpoint serves the old version until it may change.
     Waiting,
-    /// It gets no new work and finishes what it has.
+    /// The endpoint gets no new work and finishes what it has.
     Draining {
-        /// Since when its reports and the steward's ledger say that it is empty.
+        /// Since when the endpoint's reports and the owner's ledger show no work.
         empty_since: Option<Duration>,
     },
-    /// It was ordered to load.
+    /// The endpoint was ordered to load.
     Ordered {
-        /// Orders sent so far.
+        /// Number of orders sent so far.
         sent: u32,
-        /// When to order again.
+        /// When the order is sent again.
         resend_at: Duration,
     },
 }
 
 impl Rollout {
-    /// An endpoint that waits for its turn.
+    /// Creates a rollout that waits for its start.
     #[must_use]
     pub fn new(target: ServingTarget, now: Duration) -> Rollout {
         Rollout { target, stage: RolloutStage::Waiting, stage_since: now }
     }
 
-    /// Goes on to a stage.
+    /// Moves the rollout to a stage.
     pub fn enter_stage(&mut self, stage: RolloutStage, now: Duration) {
         self.stage = stage;
         self.stage_since = now;
--- a/crates/basilbank_core/src/state/orders/serving.rs
+++ b/crates/basilbank_core/src/state/orders/serving.rs
@@ -1,4 +1,4 @@
-//! What an endpoint serves, and what it should.
+//! What an endpoint serves, and what it should serve.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
     state::View,
 };
 
-/// What an endpoint last reported.
+/// What an endpoint last reported to serve.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ServingStatus {
-    /// The model's name; empty when it does not say.
+    /// Name of the model; empty if the endpoint does not report it.
     pub model: String,
-    /// The model version that it serves; empty while it loads.
+    /// Version of the model; empty while the endpoint loads.
     pub version: String,
-    /// The adapter that it has loaded.
+    /// The loaded adapter.
     pub adapter: String,
-    /// Its role; `None` when it does not say.
+    /// Role of the endpoint; `None` if it does not report it.
     pub role: Option<Role>,
-    /// The highest fencing number that it has taken.
+    /// The highest fencing number that the endpoint has accepted.
     pub fence: u64,
-    /// Requests that run or wait there.
+    /// Number of requests that run or wait at the endpoint.
     pub active_requests: u32,
-    /// When that was so.
+    /// When the report was measured.
     pub measured_at: Duration,
-    /// When the report came.
+    /// When the report was received.
     pub read_at: Duration,
-    /// It did not answer since.
+    /// Whether the endpoint has not answered since the report.
     pub unresponsive: bool,
 }
 
@@ -35,7 +35,7 @@
 pub struct ServingTarget {
     /// The model's name.
     pub model: String,
-    /// Its version.
+    /// The model's version.
     pub version: String,
     /// The adapter; empty for none.
     pub adapter: String,
@@ -44,7 +44,8 @@
 }
 
 impl ServingTarget {
-    /// What the catalogue wants an endpoint to serve; `None` for a plain service's.
+    /// Returns what an endpoint should serve according to the catalogue; `None` for an endpoint of
+    /// a plain service.
     #[must_use]
     pub fn new(view: &View, endpoint: &Endpoint) -> Option<ServingTarget> {
         let EntryTarget::Model(model) = endpoint.serves else { return None };
@@ -59,15 +60,15 @@
 }
 
 impl ServingStatus {
-    /// Whether it serves what it should.
+    /// Whether the endpoint serves what it should.
     #[must_use]
     pub fn is_on_target(&self, target: &ServingTarget) -> bool {
         let is_version = self.version == target.version && self.adapter == target.adapter;
         is_version && self.is_usable_for(target)
     }
 
-    /// Whether it takes work of its pool, be it with an old version: it has loaded something, of the
-    /// right model and in the right role.
+    /// Whether the endpoint can take work of its pool, even with an old version: it has loaded
+    /// something, of the right model and in the right role.
     #[must_use]
     pub fn is_usable_for(&self, target: &ServingTarget) -> bool {
         let is_model = self.model.is_empty() || self.model == target.model;
--- a/crates/basilbank_core/src/state/prefix_index.rs
+++ b/crates/basilbank_core/src/state/prefix_index.rs
@@ -1,28 +1,32 @@
-//! Where prompt prefixes are cached: hints from endpoints' late and gapped events, and from own
-//! recent prefills. A wrong hint costs a longer prefill than expected, nothing else.
+//! Index of the endpoints that have prompt prefixes cached. Its entries are hints, from endpoints'
+//! cache events, which may be late or incomplete, and from recent prefills of this daemon. A wrong
+//! hint only costs a longer prefill than expected.
 //!
-//! One block in eight is remembered, chosen by its hash, so that all daemons and all prompts agree on
-//! which: the rest says nothing more, for an engine that holds a block holds those before it.
+//! One block in eight is remembered, chosen by its hash, so that all daemons and all prompts select
+//! the same blocks. The other blocks add no information, since an engine that holds a block also
+//! holds all blocks before it.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::ids::EndpointId;
 
-/// Most pairs of block and endpoint that are remembered, 3 MB with their tables.
+/// Maximum number of pairs of block and endpoint; they take 3 MB with their tables.
 const MAX_HINTS: usize = 1 << 15;
-/// One block in so many is remembered.
+/// One block in this many is remembered.
 const SAMPLING_INTERVAL: u64 = 8;
-/// A block at more endpoints than this is held everywhere; the others are not remembered.
+/// Maximum number of endpoints remembered for one block. A block at more endpoints is considered
+/// available everywhere.
 const MAX_HOLDERS: usize = 16;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Holder {
     endpoint: EndpointId,
-    /// When it was last said, as a count of all that was said.
+    /// Position of the last report of this pair in the sequence of all reports.
     sequence: u64,
 }
 
-/// Which endpoints have which blocks. What was not said again for longest is forgotten first.
+/// Index of which endpoints have which blocks. The pair that was not reported for longest is
+/// dropped first.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     holders: HashMap<u64, Vec<Holder>>,
@@ -31,7 +35,7 @@
 }
 
 impl PrefixIndex {
-    /// An endpoint has a block.
+    /// Records that an endpoint has a block.
     pub fn add(&mut self, block: u64, endpoint: EndpointId) {
         if !is_sampled(block) {
             return;
@@ -52,7 +56,7 @@
         }
     }
 
-    /// An endpoint has lost a block.
+    /// Records that an endpoint has evicted a block.
     pub fn remove(&mut self, block: u64, endpoint: EndpointId) {
         self.drop_holder(block, |h| h.endpoint == endpoint);
     }
@@ -65,19 +69,20 @@
         }
     }
 
-    /// Pairs of block and endpoint that are remembered.
+    /// Returns the number of pairs of block and endpoint.
     #[must_use]
     pub fn len(&self) -> usize {
         self.holders.values().map(Vec::len).sum()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the index is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// How many of a prompt's blocks each endpoint has from its start on, as far as is known.
+    /// Returns for each endpoint how many of a prompt's blocks it has from the start of the prompt,
+    /// as far as is known.
     #[must_use]
     pub fn matches(&self, blocks: &[u64]) -> Vec<(EndpointId, usize)> {
         let mut found: Vec<(EndpointId, usize)> = Vec::new();
@@ -91,7 +96,7 @@
         found
     }
 
-    /// The last block of a prompt that is remembered, and how many blocks it ends.
+    /// Returns the last remembered block of a prompt, and the number of blocks up to its end.
     #[must_use]
     pub fn last_sampled(blocks: &[u64]) -> Option<(u64, usize)> {
         let at = blocks.iter().rposition(|b| is_sampled(*b))?;
@@ -104,11 +109,11 @@
         self.holders.get(&block).is_some_and(|h| h.iter().any(|h| h.endpoint == endpoint))
     }
 
-    /// The first block of a prompt that at most so many endpoints have.
+    /// Returns the first remembered block of a prompt that at most `max_holders` endpoints have.
     #[must_use]
-    pub fn first_rare(&self, blocks: &[u64], most: usize) -> Option<u64> {
+    pub fn first_rare(&self, blocks: &[u64], max_holders: usize) -> Option<u64> {
         let holders = |block: u64| self.holders.get(&block).map_or(0, Vec::len);
-        blocks.iter().copied().find(|b| is_sampled(*b) && holders(*b) <= most)
+        blocks.iter().copied().find(|b| is_sampled(*b) && holders(*b) <= max_holders)
     }
 }
 
--- a/crates/basilbank_core/src/state/reaper.rs
+++ b/crates/basilbank_core/src/state/reaper.rs
@@ -1,36 +1,36 @@
-//! What the reaper remembers between two lists of an endpoint's streams.
+//! State of the reaper between two lists of an endpoint's streams.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::ids::{EndpointId, RequestId};
 
-/// A cancelled attempt whose end at the endpoint has not been seen yet.
+/// A cancelled attempt of which the endpoint has not confirmed the end.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct CancelledAttempt {
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
     /// The KV cache or stream that was cancelled, if it was known.
     pub resource: Option<String>,
-    /// When.
+    /// When it was cancelled.
     pub cancelled_at: Duration,
 }
 
-/// An endpoint where something was cancelled.
+/// An endpoint at which this daemon cancelled something.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct CancelWatch {
-    /// When to list its streams.
+    /// When its streams are listed next.
     pub check_at: Duration,
-    /// When its streams were asked for last.
+    /// When its streams were last listed.
     pub listed_at: Duration,
-    /// What was cancelled, oldest first.
+    /// Cancelled attempts, oldest first.
     pub cancelled: Vec<CancelledAttempt>,
 }
 
-/// What the reaper remembers between two lists of an endpoint's streams.
+/// State of the reaper between two lists of an endpoint's streams.
 #[derive(Debug, Default)]
 pub struct Reaper {
-    /// When this daemon next lists the endpoints that it is the steward of.
+    /// When this daemon next lists the streams of the endpoints that it owns.
     pub next_list: Duration,
-    /// Endpoints where this daemon cancelled something lately.
+    /// Endpoints at which this daemon cancelled something lately.
     pub watches: BTreeMap<EndpointId, CancelWatch>,
 }
--- a/crates/basilbank_core/src/state/requests.rs
+++ b/crates/basilbank_core/src/state/requests.rs
@@ -13,85 +13,86 @@
 /// One accepted request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, the same on all daemons.
+    /// Id of the request, the same on all daemons.
     pub id: RequestId,
-    /// Who waits for it.
+    /// The caller that waits for it.
     pub caller: CallerId,
-    /// Who is charged.
+    /// The team that is charged.
     pub team: TeamId,
-    /// The entry it runs under.
+    /// The catalogue entry under which it runs.
     pub entry: EntryId,
-    /// The draft; `None` for a plain call.
+    /// The completion call; `None` for a plain call.
     pub completion: Option<Completion>,
-    /// It may be run more than once.
+    /// Whether it may be run more than once.
     pub repeatable: bool,
     /// The caller's idempotency key.
     pub idempotency_key: Option<String>,
-    /// It reads the stream of its key's first request.
+    /// Whether it reads the stream of the first request with the same idempotency key.
     pub joined: bool,
     /// When it was accepted.
     pub accepted_at: Duration,
-    /// When its first token, or a plain call's answer, is due by its class's target.
+    /// When the first token, or the answer of a plain call, is due according to the target of its
+    /// class.
     pub due: Duration,
-    /// How long it may wait for capacity before it is refused.
+    /// When it is refused if it still waits for capacity.
     pub wait_deadline: Duration,
-    /// When the first token went out.
+    /// When the first token was sent to the caller.
     pub first_token_at: Option<Duration>,
-    /// When the last token went out.
+    /// When the latest token was sent to the caller.
     pub last_token_at: Option<Duration>,
-    /// Tokens delivered.
+    /// Number of tokens sent to the caller.
     pub delivered: u32,
-    /// Prompt tokens, once an endpoint has counted them.
+    /// Number of prompt tokens; 0 until an endpoint has counted them.
     pub prompt_tokens: u32,
-    /// Prompt tokens that came from the prefix cache.
+    /// Number of prompt tokens that came from the prefix cache.
     pub cached_tokens: u32,
-    /// Attempts so far; each has its own number.
+    /// Number of attempts so far; each has its own number.
     pub attempts: u32,
-    /// Failures since a token was last delivered.
+    /// Number of failures since a token was last delivered.
     pub failures: u32,
-    /// Part of it may have run: it can't be called not run any more.
+    /// Whether part of it may have run, so that the caller can't be told that it did not run.
     pub may_have_run: bool,
-    /// Tokens that were taken from the entry's limit.
+    /// Number of tokens taken from the entry's limit.
     pub limit_tokens: u32,
-    /// The entry's steward refused it, perhaps too late.
+    /// Whether the owner of the entry's limit refused it, perhaps too late.
     pub limit_refused: bool,
-    /// It counts as waiting for capacity.
+    /// Whether it counts as waiting for capacity.
     pub queued: bool,
-    /// What it is doing.
+    /// Stage of the request.
     pub stage: RequestStage,
-    /// Endpoints where attempts failed; others are preferred.
+    /// Endpoints at which attempts failed; other endpoints are preferred.
     pub failed_endpoints: Vec<EndpointId>,
 }
 
-/// What a request is doing.
+/// Stage of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestStage {
     /// Its idempotency key is being claimed.
     Claiming,
-    /// It waits for a backoff.
+    /// It waits to be started, or for the end of a backoff.
     Waiting,
     /// An attempt waits for slots or runs.
     Running(AttemptKey),
 }
 
-/// The arenas of requests and attempts.
+/// Arenas of requests and attempts.
 #[derive(Debug)]
 pub struct Requests {
-    /// Requests.
+    /// Accepted requests in progress.
     pub arena: SlotMap<RequestKey, Request>,
-    /// Attempts.
+    /// Attempts of these requests.
     pub attempts: SlotMap<AttemptKey, Attempt>,
     /// Requests by caller.
     pub callers: HashMap<CallerId, RequestKey>,
-    /// Requests ever accepted by this incarnation.
+    /// Number of requests that this incarnation has accepted.
     pub accepted_count: u64,
-    /// Requests that wait for capacity.
+    /// Number of requests that wait for capacity.
     pub queued: usize,
-    /// Retries that may be made now; successes add to it.
+    /// Number of retries that may be made now; successes add to it.
     pub retry_budget: f64,
 }
 
-/// Retries that a daemon which has just started may make.
+/// Initial retry budget of a daemon.
 const INITIAL_RETRY_BUDGET: f64 = 10.0;
 
 impl Default for Requests {
@@ -108,7 +109,7 @@
 }
 
 impl Requests {
-    /// Adds a request for a call.
+    /// Adds a request that waits for capacity.
     pub fn insert(&mut self, request: Request) -> RequestKey {
         let caller = request.caller;
         let key = self.arena.insert(request);
@@ -117,21 +118,21 @@
         key
     }
 
-    /// A request waits for capacity from now on.
+    /// Marks a request as waiting for capacity.
     pub fn set_queued(&mut self, key: RequestKey) {
         let Some(request) = self.arena.get_mut(key) else { return };
         self.queued += usize::from(!request.queued);
         request.queued = true;
     }
 
-    /// An endpoint works for a request from now on.
+    /// Marks a request as served by an endpoint.
     pub fn set_served(&mut self, key: RequestKey) {
         let Some(request) = self.arena.get_mut(key) else { return };
         self.queued -= usize::from(request.queued);
         request.queued = false;
     }
 
-    /// Removes a request with its attempt's key, so that late answers are dropped.
+    /// Removes a request and its attempt, so that late answers are ignored.
     pub fn remove(&mut self, key: RequestKey) -> Option<Request> {
         let request = self.arena.remove(key)?;
         self.callers.remove(&request.caller);
@@ -142,10 +143,10 @@
         Some(request)
     }
 
-    /// Starts a request's next attempt.
+    /// Starts the next attempt of a request.
     ///
     /// # Panics
-    /// When the request's key is dead.
+    /// If the request does not exist.
     pub fn begin_attempt(&mut self, key: RequestKey, now: Duration) -> AttemptKey {
         let request = &mut self.arena[key];
         let attempt = Attempt::new(key, request.attempts, request.delivered, now);
@@ -155,12 +156,13 @@
         attempt
     }
 
-    /// Gives an attempt a new key and number, so that answers to its earlier calls are dropped.
+    /// Gives an attempt a new key and number, so that answers to its earlier calls are ignored.
     ///
-    /// Without it an answer of the endpoint that was given up could pass for one of its successor.
+    /// Without this, an answer from the endpoint that was given up could be taken for one from its
+    /// successor.
     ///
     /// # Panics
-    /// When the attempt's key is dead.
+    /// If the attempt does not exist.
     pub fn renew_attempt(&mut self, key: AttemptKey) -> AttemptKey {
         let mut attempt = self.attempts.remove(key).expect("the caller checked that it lives");
         let request = &mut self.arena[attempt.request];
@@ -174,8 +176,9 @@
 
     /// Moves the attempts' time limits on by a pause of this process.
     ///
-    /// What endpoints sent meanwhile is still to be read. Without this a stream that never stopped
-    /// would count as silent and be read again, perhaps away from a daemon that has taken it over.
+    /// What endpoints sent in the meantime is still to be read. Without this, a stream that never
+    /// stopped would count as silent and be read again, perhaps away from a daemon that has taken
+    /// it over.
     pub fn shift_times(&mut self, pause: Duration) {
         for attempt in self.attempts.values_mut() {
             attempt.stage_since += pause;
@@ -183,14 +186,14 @@
         }
     }
 
-    /// A request's current attempt.
+    /// Returns the current attempt of a request.
     #[must_use]
     pub fn current_attempt(&self, key: RequestKey) -> Option<(AttemptKey, &Attempt)> {
         let RequestStage::Running(attempt) = self.arena.get(key)?.stage else { return None };
         Some((attempt, self.attempts.get(attempt)?))
     }
 
-    /// Where a request's stream lives and its name there, once it has one.
+    /// Returns the endpoint and the name of a request's stream, once it has one.
     #[must_use]
     pub fn stream(&self, key: RequestKey) -> Option<(EndpointId, &str)> {
         let (_, attempt) = self.current_attempt(key)?;
@@ -199,7 +202,7 @@
 }
 
 impl Request {
-    /// A request that was just accepted.
+    /// Creates a request that was just accepted.
     #[must_use]
     pub fn new(id: RequestId, call: &Call, team: TeamId, entry: EntryId, at: Duration) -> Request {
         Request {
@@ -230,13 +233,14 @@
         }
     }
 
-    /// Most tokens that it still may generate.
+    /// Returns the maximum number of tokens that are still to be generated.
     #[must_use]
     pub fn remaining_tokens(&self) -> u32 {
         self.completion.as_ref().map_or(0, |d| d.max_tokens.saturating_sub(self.delivered))
     }
 
-    /// Tokens that a prefill has to turn into KV cache: the prompt, and what was delivered since.
+    /// Returns the number of tokens that a prefill has to process: the prompt and the tokens
+    /// delivered since.
     #[must_use]
     pub fn prefill_tokens(&self) -> u32 {
         self.completion.as_ref().map_or(0, |d| d.prompt_tokens.saturating_add(self.delivered))
--- a/crates/basilbank_core/src/state/slots.rs
+++ b/crates/basilbank_core/src/state/slots.rs
@@ -1,4 +1,5 @@
-//! Slots at endpoints: those that this daemon holds or waits for, and those that it decides on.
+//! Slots at endpoints: those that this daemon holds or waits for, and ledgers of the endpoints that
+//! it owns.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,19 +14,19 @@
     state::Ledger,
 };
 
-/// The name of one slot, held or waited for; the same on all daemons.
+/// Identifies one slot that is held or waited for; the same on all daemons.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct SlotKey {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// The request.
     pub request: RequestId,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u32,
 }
 
 impl SlotKey {
-    /// All keys of one endpoint.
+    /// Returns the range of all keys of one endpoint.
     #[must_use]
     pub fn endpoint_range(endpoint: EndpointId) -> RangeInclusive<SlotKey> {
         let first = SlotKey { endpoint, request: RequestId(0), attempt: 0 };
@@ -37,47 +38,47 @@
 /// A slot that this daemon holds or waits for.
 #[derive(Clone, Debug)]
 pub struct OwnSlot {
-    /// The attempt that it is for.
+    /// The attempt that needs it.
     pub attempt: AttemptKey,
-    /// Its steward was asked first.
+    /// Whether its owner was the first to be asked for the attempt.
     pub is_first: bool,
-    /// The entry whose share it uses.
+    /// The entry whose share of the slots it uses.
     pub entry: EntryId,
-    /// Tokens expected to be held or prefilled.
+    /// Number of tokens that are expected to be held or prefilled.
     pub tokens: u32,
-    /// Tokens whose KV cache leaves the endpoint afterwards.
+    /// Number of tokens whose KV cache is transferred from the endpoint afterwards.
     pub transfer_tokens: u32,
-    /// Milliseconds from the grant until its use.
+    /// Time from the grant until its use, in milliseconds.
     pub lead_ms: u32,
-    /// The grant came.
+    /// Whether the slot was granted.
     pub is_held: bool,
-    /// When the steward was last asked.
+    /// When the owner was last asked.
     pub asked_at: Duration,
-    /// How often it was asked.
+    /// Number of times that the owner was asked.
     pub ask_count: u32,
-    /// How long it may wait.
+    /// When the wait for the slot ends.
     pub deadline: Duration,
 }
 
-/// Slots at endpoints. Ordered maps, so that effects come in the same order on every run.
+/// Slots at endpoints. The maps are ordered so that effects come in the same order on every run.
 #[derive(Debug, Default)]
 pub struct Slots {
     /// Slots that this daemon holds or waits for.
     pub own: BTreeMap<SlotKey, OwnSlot>,
-    /// Endpoints that this daemon decides on as steward.
+    /// Ledgers of the endpoints that this daemon owns.
     pub ledgers: BTreeMap<EndpointId, Ledger>,
-    /// What this daemon says to itself as steward or holder; taken in at the end of each event.
+    /// Messages of this daemon to itself as owner or holder; handled at the end of each event.
     pub inbox: VecDeque<Body>,
-    /// When the stewards were last told what is held.
+    /// When the owners were last sent all holds.
     pub reported_at: Duration,
-    /// Endpoints whose stewards know of a hold of this daemon.
+    /// Endpoints whose owners know of a hold of this daemon, each with that owner.
     pub known_owners: BTreeMap<EndpointId, VmId>,
-    /// The catalogue revision that the ledgers follow.
+    /// The catalogue revision that the ledgers are based on.
     pub revision: u64,
 }
 
 impl Slots {
-    /// The endpoints where this daemon holds slots, with those slots.
+    /// Returns the slots that this daemon holds.
     pub fn held(&self) -> impl Iterator<Item = (SlotKey, &OwnSlot)> {
         self.own.iter().filter(|(_, own)| own.is_held).map(|(key, own)| (*key, own))
     }
--- a/crates/basilbank_core/src/state/timers.rs
+++ b/crates/basilbank_core/src/state/timers.rs
@@ -1,37 +1,39 @@
-//! What is due when.
+//! Timers of the state.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use crate::ids::{AttemptKey, EndpointId, RequestId, RequestKey};
 
-/// What a timer is for. A timer whose subject is gone fires without effect, so none is ever removed.
+/// Purpose of a timer. A timer whose subject no longer exists fires without effect, so timers are
+/// never removed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Timer {
-    /// An attempt's time limit.
+    /// Time limit of an attempt.
     Attempt(AttemptKey),
-    /// A request's next step: its backoff or its wait is over.
+    /// Next step of a request: its backoff or its wait is over.
     Request(RequestKey),
-    /// A claim's votes did not come in time.
+    /// Votes or acknowledgements of a claim are overdue.
     Claim(RequestId),
-    /// Read the platform again.
+    /// Reads the platform.
     Platform,
-    /// Send heartbeats, and look for pauses and dead members.
+    /// Sends heartbeats and detects dead members.
     Heartbeat,
-    /// Renew leases of slots, expire those of others, grant waiting reservations.
+    /// Renews own leases of slots, expires those of others, and grants slots to waiting
+    /// reservations.
     Slots,
-    /// Grant slots of an endpoint that has done most of its work by now.
+    /// Grants slots of a prefill endpoint that is about to finish its work.
     GrantSlots(EndpointId),
-    /// Renew leases of limits.
+    /// Renews leases of limits.
     Limits,
-    /// Read endpoints' loads.
+    /// Reads the loads of endpoints.
     Loads,
-    /// Look for orders that are due.
+    /// Checks which orders to endpoints are due.
     Orders,
-    /// List endpoints' streams.
+    /// Lists the streams of endpoints.
     Reap,
 }
 
-/// A heap of timers.
+/// Timers, ordered by time.
 #[derive(Debug, Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
@@ -45,13 +47,13 @@
         self.heap.push(Reverse((at, self.sequence, timer)));
     }
 
-    /// When the next one is due.
+    /// Returns when the next timer is due.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.heap.peek().map(|Reverse((at, _, _))| *at)
     }
 
-    /// Takes the next one that is due.
+    /// Removes and returns the next timer if it is due.
     pub fn pop_due(&mut self, mono: Duration) -> Option<Timer> {
         if mono < self.next_due()? {
             return None;
--- a/crates/basilbank_core/src/state/view.rs
+++ b/crates/basilbank_core/src/state/view.rs
@@ -1,4 +1,4 @@
-//! The catalogue in force, indexed for decisions.
+//! The catalogue in force, with indices for lookups.
 
 use std::{cmp::Reverse, collections::HashMap, sync::Arc};
 
@@ -28,7 +28,7 @@
 }
 
 impl View {
-    /// Indexes a catalogue.
+    /// Builds the indices of a catalogue.
     #[must_use]
     pub fn new(catalogue: Arc<Catalogue>) -> View {
         let mut view = View::default();
@@ -61,10 +61,10 @@
         }
     }
 
-    /// The team that a presented key belongs to.
+    /// Returns the team that a caller's key belongs to.
     ///
-    /// The table is found by the key's SHA-256, so its timing says nothing of a key; the last
-    /// comparison is in constant time all the same.
+    /// The lookup uses the SHA-256 of the key, so its timing reveals nothing about keys. The final
+    /// comparison takes constant time anyway.
     #[must_use]
     pub fn team(&self, key: &KeyHash) -> Option<TeamId> {
         let team = &self.catalogue.teams[*self.key_teams.get(key)?];
@@ -72,13 +72,13 @@
         known.then_some(team.id)
     }
 
-    /// An entry.
+    /// Returns an entry.
     #[must_use]
     pub fn entry(&self, id: EntryId) -> Option<&Entry> {
         self.entries.get(&id).map(|i| &self.catalogue.entries[*i])
     }
 
-    /// A team's entry for a model, by the name that callers use.
+    /// Returns a team's entry for a model, by the name that callers use.
     #[must_use]
     pub fn completion_entry(&self, team: TeamId, name: &str) -> Option<&Entry> {
         let entry = self.entry(EntryId::of(name))?;
@@ -86,7 +86,7 @@
         (entry.team == team && is_model).then_some(entry)
     }
 
-    /// The service whose prefix a path starts with; the longest prefix wins.
+    /// Returns the service whose prefix a path starts with; the longest prefix wins.
     #[must_use]
     pub fn service(&self, path: &str) -> Option<&Service> {
         let starts = self.prefix_lengths.iter().filter_map(|length| path.get(..*length));
@@ -94,32 +94,33 @@
         Some(&self.catalogue.services[*found])
     }
 
-    /// A team's entry for a service.
+    /// Returns a team's entry for a service.
     #[must_use]
     pub fn plain_entry(&self, team: TeamId, service: &Service) -> Option<&Entry> {
         let found = self.plain_entries.get(&(team, service.id))?;
         Some(&self.catalogue.entries[*found])
     }
 
-    /// An endpoint.
+    /// Returns an endpoint.
     #[must_use]
     pub fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id).map(|i| &self.catalogue.endpoints[*i])
     }
 
-    /// A class. The catalogue's check makes sure that each entry's class exists.
+    /// Returns a class. The catalogue check ensures that each entry's class exists.
     #[must_use]
     pub fn class(&self, id: ClassId) -> Option<&Class> {
         self.classes.get(&id).map(|i| &self.catalogue.classes[*i])
     }
 
-    /// A model.
+    /// Returns a model.
     #[must_use]
     pub fn model(&self, id: ModelId) -> Option<&ModelSpec> {
         self.models.get(&id).map(|i| &self.catalogue.models[*i])
     }
 
-    /// The endpoints of one role for one target that the catalogue does not take away.
+    /// Returns the endpoints of one role that serve a target and are not marked as leaving in the
+    /// catalogue.
     #[must_use]
     pub fn serving(&self, target: EntryTarget, role: Role) -> &[EndpointId] {
         self.serving.get(&(target, role)).map_or(&[], Vec::as_slice)
--- a/crates/basilbank_core/src/state/wait_queue.rs
+++ b/crates/basilbank_core/src/state/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Reservations that wait at one endpoint, by entry and in the order in which each entry's are served.
+//! Reservations that wait at one endpoint, in one queue for each entry.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,56 +10,58 @@
     state::SlotKey,
 };
 
-/// A prompt that takes this many times less prefill than its length says goes before others.
+/// A prompt that needs this many times less prefill than its length suggests is served before
+/// others.
 const CACHED_RATIO: u32 = 4;
 
-/// A reservation that waits.
+/// A waiting reservation.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Waiter {
-    /// The slot's name.
+    /// Identifies the slot that is waited for.
     pub key: SlotKey,
-    /// Who waits.
+    /// The daemon that waits.
     pub vm: VmId,
-    /// The entry whose share it would use.
+    /// The entry whose share of the slots it would use.
     pub entry: EntryId,
-    /// Tokens expected to be held.
+    /// Number of tokens that are expected to be held or prefilled.
     pub tokens: u32,
-    /// Tokens whose KV cache leaves the endpoint afterwards.
+    /// Number of tokens whose KV cache is transferred from the endpoint afterwards.
     pub transfer_tokens: u32,
-    /// The grant that comes later than this misses the request's target.
+    /// Latest moment of a grant that still meets the request's target.
     pub due: Duration,
-    /// When it has waited long enough.
+    /// When the reservation is denied if it still waits.
     pub deadline: Duration,
-    /// When it came.
+    /// When the reservation arrived.
     pub arrived_at: Duration,
-    /// Its caller has part of the answer.
+    /// Whether its caller has part of the answer.
     pub begun: bool,
-    /// This steward may take a slot back for it.
+    /// Whether this owner may preempt a slot for it.
     pub can_preempt: bool,
 }
 
-/// Groups of one entry's reservations; earlier ones are served first.
+/// Groups of one entry's reservations, in the order in which they are served.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Group {
     /// The caller has part of the answer and waits for the rest.
     Begun,
-    /// In time, and most of the prompt is cached.
+    /// The target can be met, and most of the prompt is cached.
     Cached,
-    /// In time.
+    /// The target can be met.
     InTime,
-    /// The target can't be met any more.
+    /// The target can no longer be met.
     Late,
 }
 
 impl Group {
-    /// All of them, in order.
+    /// All groups, in order.
     pub const ALL: [Group; 4] = [Group::Begun, Group::Cached, Group::InTime, Group::Late];
 }
 
-/// A reservation's place in its group: when it is due, or when it came if it is late; then by arrival.
+/// Order of a reservation in its group: by its arrival if its caller has part of the answer or its
+/// target has passed, otherwise by the time at which it is due; then by sequence.
 type OrderKey = (Duration, u64);
 
-/// One entry's reservations.
+/// Waiting reservations of one entry.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct EntryQueue {
     groups: [BTreeMap<OrderKey, Waiter>; Group::ALL.len()],
@@ -74,7 +76,7 @@
 }
 
 impl WaitQueue {
-    /// Adds a reservation, or replaces what was known of it.
+    /// Adds a reservation or replaces it. A replaced reservation keeps its arrival time.
     pub fn insert(&mut self, mut waiter: Waiter, now: Duration) {
         if let Some(known) = self.remove(waiter.key) {
             waiter.arrived_at = known.arrived_at;
@@ -95,7 +97,7 @@
         queue.groups[group as usize].insert(order, waiter);
     }
 
-    /// Takes a reservation out.
+    /// Removes and returns a reservation.
     pub fn remove(&mut self, key: SlotKey) -> Option<Waiter> {
         let (entry, group, order) = self.positions.remove(&key)?;
         let queue = self.queues.get_mut(&entry)?;
@@ -106,8 +108,9 @@
         waiter
     }
 
-    /// Takes those out that a test picks, entry by entry in their order. The test is told the group
-    /// and how many of the entry's own are ahead.
+    /// Removes and returns the reservations that `matches` selects, entry by entry in their order.
+    /// `matches` gets the group of the reservation and the number of reservations of the same entry
+    /// that stay ahead of it.
     pub fn remove_matching(
         &mut self,
         matches: impl Fn(&WaitQueue, &Waiter, Group, usize) -> bool,
@@ -126,7 +129,7 @@
         keys.into_iter().filter_map(|key| self.remove(key)).collect()
     }
 
-    /// Puts those whose target has passed behind the others of their entries.
+    /// Moves reservations whose target has passed behind the others of their entries.
     pub fn demote_late(&mut self, now: Duration) {
         let mut late = Vec::new();
         for queue in self.queues.values() {
@@ -142,12 +145,12 @@
         }
     }
 
-    /// The entries that wait.
+    /// Returns the queues by entry.
     pub fn queues(&self) -> impl Iterator<Item = (EntryId, &EntryQueue)> {
         self.queues.iter().map(|(entry, queue)| (*entry, queue))
     }
 
-    /// How many of its own entry's a reservation would have ahead of it, and its group.
+    /// Returns the group of a reservation, and how many reservations of its entry are ahead of it.
     #[must_use]
     pub fn position(&self, key: SlotKey) -> Option<(Group, usize)> {
         let (entry, group, order) = self.positions.get(&key)?;
@@ -157,20 +160,20 @@
         Some((*group, before + in_group))
     }
 
-    /// A reservation.
+    /// Returns a reservation.
     #[must_use]
     pub fn get(&self, key: SlotKey) -> Option<&Waiter> {
         let (entry, group, order) = self.positions.get(&key)?;
         self.queues.get(entry)?.groups[*group as usize].get(order)
     }
 
-    /// How many wait.
+    /// Returns the number of reservations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether none waits.
+    /// Whether no reservation waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
@@ -178,26 +181,27 @@
 }
 
 impl EntryQueue {
-    /// All of them, in order.
+    /// Returns all reservations with their groups, in order.
     pub fn iter(&self) -> impl Iterator<Item = (Group, &Waiter)> {
         let each = Group::ALL.into_iter().zip(&self.groups);
         each.flat_map(|(group, waiters)| waiters.values().map(move |w| (group, w)))
     }
 
-    /// The first one, and what it is ordered by within its group.
+    /// Returns the first reservation, with its group and the time by which it is ordered within the
+    /// group.
     #[must_use]
     pub fn first(&self) -> Option<(Group, Duration, &Waiter)> {
         let mut firsts = Group::ALL.into_iter().zip(&self.groups);
         firsts.find_map(|(group, w)| w.first_key_value().map(|(order, w)| (group, order.0, w)))
     }
 
-    /// How many are in a group or in one before it.
+    /// Returns the number of reservations in a group and in those before it.
     #[must_use]
     pub fn count_up_to(&self, group: Group) -> usize {
         self.groups[..=group as usize].iter().map(BTreeMap::len).sum()
     }
 
-    /// Whether there are any in a group.
+    /// Whether there are reservations in a group.
     #[must_use]
     pub fn has_group(&self, group: Group) -> bool {
         !self.groups[group as usize].is_empty()
--- a/crates/basilbank_wire/src/message.rs
+++ b/crates/basilbank_wire/src/message.rs
@@ -1,7 +1,8 @@
-//! The peers' messages: `prost` structs, annotated by hand so that the build needs no generator.
+//! The messages between daemons: `prost` structs, annotated by hand so that the build needs no
+//! generator.
 //!
-//! Identifiers are 64-bit stable hashes of names (see `basilbank_core::ids`); durations are
-//! milliseconds. Every request message is idempotent: its receiver may see it twice.
+//! Identifiers are 64-bit stable hashes of names (see `basilbank_core::ids`); durations are in
+//! milliseconds. Every request message is idempotent: its receiver may get it twice.
 
 mod claims;
 mod documents;
@@ -15,22 +16,22 @@
 pub use member::*;
 pub use slots::*;
 
-/// One datagram or frame: who sent it, from which incarnation, and what it says.
+/// One datagram or frame: its sender, the sender's incarnation, and messages.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Packet {
     /// The sending VM.
     #[prost(fixed64, tag = "1")]
     pub from: u64,
-    /// The sender's incarnation: its process's start, milliseconds since the Unix epoch.
+    /// The sender's incarnation: the start of its process, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Rises with each packet of one incarnation; a receiver drops what it has seen.
+    /// Rises with each packet of one incarnation; a receiver drops packets that it has seen.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The VM that the packet is meant for; a packet replayed to another VM is dropped.
+    /// The VM that the packet is sent to; a packet that is replayed to another VM is dropped.
     #[prost(fixed64, tag = "4")]
     pub to: u64,
-    /// What is said, in order.
+    /// The messages, in order.
     #[prost(message, repeated, tag = "5")]
     pub messages: Vec<Message>,
 }
@@ -38,7 +39,7 @@
 /// One message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
-    /// What it says; `None` when a newer peer said something that this one does not know.
+    /// Content of the message; `None` if a newer peer sent a kind of message that is unknown here.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17")]
     pub body: Option<Body>,
 }
@@ -49,58 +50,59 @@
     }
 }
 
-/// All that peers say to each other.
+/// All kinds of messages between peers.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// I am alive, and this is what I know.
+    /// Shows that the sender is alive, and what it knows of other members.
     #[prost(message, tag = "1")]
     Heartbeat(Heartbeat),
-    /// To an endpoint's steward: reserve a slot.
+    /// To an endpoint's owner: requests a slot.
     #[prost(message, tag = "2")]
     Reserve(Reserve),
-    /// From an endpoint's steward: the slot is yours.
+    /// From an endpoint's owner: grants a slot.
     #[prost(message, tag = "3")]
     Grant(Grant),
-    /// From an endpoint's steward: no slot.
+    /// From an endpoint's owner: denies a slot.
     #[prost(message, tag = "4")]
     Deny(Deny),
-    /// To an endpoint's steward: the slot, or the wait for it, is given up.
+    /// To an endpoint's owner: returns a slot, or withdraws the request for one.
     #[prost(message, tag = "5")]
     Release(Release),
-    /// From a new steward to all: what do you hold at this endpoint?
+    /// From a new owner of an endpoint to all: asks for the slots that are held there.
     #[prost(message, tag = "6")]
     AskHolds(AskHolds),
-    /// To an endpoint's steward: all that the sender holds there. Renews its leases.
+    /// To an endpoint's owner: reports all slots that the sender holds there, and renews their
+    /// leases.
     #[prost(message, tag = "7")]
     Holds(Holds),
-    /// To a voter: may this idempotency key run?
+    /// To a voter: asks whether a request may run under an idempotency key.
     #[prost(message, tag = "8")]
     Claim(Claim),
-    /// From a voter.
+    /// From a voter: answers `Claim`, or acknowledges `Settle`.
     #[prost(message, tag = "9")]
     Vote(Vote),
-    /// To the voters: where the key's request runs, or how it ended.
+    /// To the voters: reports where the key's request runs, or its outcome.
     #[prost(message, tag = "10")]
     Settle(Settle),
-    /// Send me the catalogue's documents that changed after a revision. Over TCP.
+    /// Asks for the catalogue's documents that changed after a revision. Sent over TCP.
     #[prost(message, tag = "11")]
     FetchCatalogue(FetchCatalogue),
-    /// The documents asked for. Over TCP.
+    /// The documents that were asked for. Sent over TCP.
     #[prost(message, tag = "12")]
     Catalogue(CatalogueDelta),
-    /// Send me the VM list. Over TCP.
+    /// Asks for the VM list. Sent over TCP.
     #[prost(message, tag = "13")]
     FetchVms(FetchVms),
-    /// The VM list asked for. Over TCP.
+    /// The VM list that was asked for. Sent over TCP.
     #[prost(message, tag = "14")]
     Vms(VmList),
-    /// To an entry's steward: I use this much of the entry's limit.
+    /// To the owner of an entry's limit: reports how much of the limit the sender uses.
     #[prost(message, tag = "15")]
     AskLimit(AskLimit),
-    /// From an entry's steward: use up to this much until the lease ends.
+    /// From the owner of an entry's limit: allows the use of up to this much until the lease ends.
     #[prost(message, tag = "16")]
     Lease(LimitLease),
-    /// From an endpoint's steward to a holder: this slot is taken back.
+    /// From an endpoint's owner to a holder: takes a slot back.
     #[prost(message, tag = "17")]
     Preempt(Preempt),
 }
--- a/crates/basilbank_wire/src/message/claims.rs
+++ b/crates/basilbank_wire/src/message/claims.rs
@@ -1,95 +1,95 @@
-//! Idempotency keys: claims, votes, and how keyed requests ended.
+//! Idempotency keys: claims, votes, and records of the requests that have keys.
 
 /// Asks a voter for a key.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Claim {
-    /// Hash of entry owner and idempotency key, 16 bytes.
+    /// Hash of team and idempotency key, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The request that wants to run it.
+    /// The request that is to run under the key.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// When the key says it was made, milliseconds since the Unix epoch; 0 when it says nothing.
+    /// Time that the key carries, in milliseconds since the Unix epoch; 0 when it carries none.
     #[prost(uint64, tag = "3")]
     pub made: u64,
     /// The sender's incarnation.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// The request may be run more than once.
+    /// Whether the request may be run more than once.
     #[prost(bool, tag = "5")]
     pub repeatable: bool,
-    /// The request that has the key and whose daemon is gone, so that this one may follow it; 0 for
-    /// none.
+    /// The request that has the key and whose daemon is gone, if this request is to take the key
+    /// over; 0 for none.
     #[prost(fixed64, tag = "6")]
     pub after: u64,
 }
 
-/// What a voter says to a claim.
+/// A voter's answer to a claim.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Verdict {
-    /// Never seen: the request may run.
+    /// The key was unknown or is taken over: the request may run.
     Granted = 0,
-    /// Another request has it and runs.
+    /// Another request has the key and runs.
     Running = 1,
-    /// Another request ended it.
+    /// The key's request has ended.
     Done = 2,
-    /// The voter can't say.
+    /// The voter can't decide, for example because it has become a voter too recently.
     Abstain = 3,
-    /// The voter's table is full.
+    /// The voter's table of keys is full.
     Overflow = 4,
 }
 
-/// A voter's answer.
+/// A vote on a claim.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Vote {
     /// The key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The request that asked.
+    /// The request that claimed the key.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// The answer.
+    /// The vote.
     #[prost(enumeration = "Verdict", tag = "3")]
     pub verdict: i32,
-    /// What is known of the request that has the key.
+    /// The record of the request that has the key, if another one has it.
     #[prost(message, optional, tag = "4")]
     pub record: Option<KeyRecord>,
 }
 
-/// What is known of a key's request.
+/// The record of a key's request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyRecord {
     /// The request that has the key.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// The VM where it was accepted.
+    /// The VM that accepted the request.
     #[prost(fixed64, tag = "2")]
     pub vm: u64,
-    /// The endpoint where its stream lives; 0 when none.
+    /// The endpoint that has its stream; 0 if there is none.
     #[prost(fixed64, tag = "3")]
     pub endpoint: u64,
-    /// The stream's name there; empty when none.
+    /// The stream's name at that endpoint; empty if there is none.
     #[prost(string, tag = "4")]
     pub stream: String,
-    /// How it ended; 0 while it runs, else a `basilbank_core` outcome code.
+    /// Its outcome: 0 while it runs, otherwise a `basilbank_core` outcome code.
     #[prost(uint32, tag = "5")]
     pub outcome: u32,
-    /// The VM's incarnation when it was accepted.
+    /// The VM's incarnation when the request was accepted.
     #[prost(uint64, tag = "6")]
     pub incarnation: u64,
-    /// It may be run more than once.
+    /// Whether the request may be run more than once.
     #[prost(bool, tag = "7")]
     pub repeatable: bool,
 }
 
-/// Tells the voters about a key.
+/// Informs the voters about a key's request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Settle {
     /// The key.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// What is known now.
+    /// The current record.
     #[prost(message, optional, tag = "2")]
     pub record: Option<KeyRecord>,
 }
--- a/crates/basilbank_wire/src/message/limits.rs
+++ b/crates/basilbank_wire/src/message/limits.rs
@@ -1,76 +1,78 @@
-//! Limits over all daemons: between those that use one and the limit's steward.
+//! Limits over all daemons: messages between the daemons that use a limit and its owner.
 
-/// Asks for part of an entry's limit, or tells what was taken without one.
+/// Asks for a lease of an entry's limit, and reports what was taken without one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AskLimit {
     /// The catalogue entry.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
-    /// Requests a second that the sender's callers want, in thousandths; 0 when no lease is wanted.
+    /// Requests a second that the sender's callers want, in thousandths; 0 if no lease is wanted.
     #[prost(uint64, tag = "2")]
     pub requests: u64,
-    /// Tokens a second that they want.
+    /// Tokens a second that the sender's callers want.
     #[prost(uint64, tag = "3")]
     pub tokens: u64,
-    /// Requests that they have in progress or want to start.
+    /// Requests that the sender's callers have in progress or want to start.
     #[prost(uint64, tag = "4")]
     pub concurrent: u64,
-    /// Requests in progress.
+    /// Number of the sender's requests in progress.
     #[prost(uint32, tag = "5")]
     pub running: u32,
     /// Requests taken without a lease since the last message.
     #[prost(uint32, tag = "6")]
     pub taken: u32,
-    /// Tokens taken without a lease, less those given back.
+    /// Tokens taken without a lease, minus returned ones.
     #[prost(sint64, tag = "7")]
     pub taken_tokens: i64,
     /// Requests a second that are leased to the sender now, in thousandths.
     #[prost(uint64, tag = "8")]
     pub held: u64,
-    /// Tokens a second that are leased to it.
+    /// Tokens a second that are leased to the sender now.
     #[prost(uint64, tag = "9")]
     pub held_tokens: u64,
 }
 
-/// What an entry's steward answers.
+/// The owner's answer to `AskLimit`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum LimitAnswer {
-    /// A lease.
+    /// A lease is granted.
     Leased = 0,
-    /// No lease is worth it: take calls and tell of each.
+    /// A lease would be too small: calls may be taken, and each must be reported.
     Trusted = 1,
-    /// More is wanted than there is: a small lease that lasts.
+    /// Demand exceeds the limit: a small lease of longer duration.
     Rationed = 2,
-    /// The same, and what was taken is refused: too many requests a second.
+    /// Like `Rationed`, and the calls that were taken without a lease are refused: too many
+    /// requests a second.
     NoRequests = 3,
-    /// The same: too many tokens a second.
+    /// Like `NoRequests`, but for too many tokens a second.
     NoTokens = 4,
-    /// The same: too many requests in progress.
+    /// Like `NoRequests`, but for too many concurrent requests.
     NoSlots = 5,
-    /// A lease, and plenty beside it: more may be taken if it is told.
+    /// A lease is granted, and there is ample capacity beyond it: more may be taken if it is
+    /// reported.
     Ample = 6,
 }
 
-/// A leased part of an entry's limit, or the refusal of what was taken without one.
+/// A lease of an entry's limit, or the refusal of what was taken without one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LimitLease {
     /// The catalogue entry.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
-    /// Requests a second, in thousandths.
+    /// Requests a second that are leased, in thousandths.
     #[prost(uint64, tag = "2")]
     pub requests: u64,
-    /// Tokens a second.
+    /// Tokens a second that are leased.
     #[prost(uint64, tag = "3")]
     pub tokens: u64,
-    /// Requests in progress.
+    /// Maximum number of requests in progress.
     #[prost(uint64, tag = "4")]
     pub concurrent: u64,
-    /// How long it holds, from now.
+    /// Duration of the lease in milliseconds, from its receipt.
     #[prost(uint32, tag = "5")]
     pub ttl: u32,
-    /// What it is.
+    /// Kind of the answer.
     #[prost(enumeration = "LimitAnswer", tag = "6")]
     pub answer: i32,
 }
--- a/crates/basilbank_wire/src/message/member.rs
+++ b/crates/basilbank_wire/src/message/member.rs
@@ -1,9 +1,9 @@
-//! Membership: heartbeats, and what they carry.
+//! Membership: heartbeats and member records.
 
-/// Liveness and revisions, with part of the sender's membership table.
+/// Shows that the sender is alive, and carries its revisions and part of its membership table.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
-    /// The sender's own heartbeat counter.
+    /// The sender's heartbeat counter.
     #[prost(uint64, tag = "1")]
     pub counter: u64,
     /// The catalogue revision in force at the sender.
@@ -12,33 +12,34 @@
     /// The VM list revision that the sender knows.
     #[prost(uint64, tag = "3")]
     pub vms: u64,
-    /// The sender is shutting down: it takes no new work and no stewardship.
+    /// Whether the sender is shutting down: it accepts no new work and owns no subjects.
     #[prost(bool, tag = "4")]
     pub leaving: bool,
-    /// What the sender knows of others.
+    /// Full records of other members.
     #[prost(message, repeated, tag = "5")]
     pub seen: Vec<MemberRecord>,
-    /// The sender lacks members' records: the receiver should answer with all that it has.
+    /// Whether the sender lacks members' records: the receiver should answer with all that it has.
     #[prost(bool, tag = "6")]
     pub probe: bool,
-    /// Live members in short form, four bytes each: upper 16 bits of the id, 5 bits that tell the
-    /// incarnation, low 6 bits of the counter, 5 bits for the age of the news in parts of the time
-    /// after which a member counts as dead.
+    /// Summary of the live members, four bytes each: the upper 16 bits of the id, 5 bits that
+    /// identify the incarnation, the low 6 bits of the heartbeat counter, and 5 bits for the time
+    /// since the member was last seen, as a fraction of the time after which a member counts as
+    /// dead.
     #[prost(bytes = "vec", tag = "7")]
     pub beats: Vec<u8>,
-    /// The revision of the newest documents that the sender knows, accepted or not.
+    /// The revision of the newest documents that the sender has, accepted or not.
     #[prost(uint64, tag = "8")]
     pub documents: u64,
-    /// Milliseconds since the platform confirmed that a daemon's documents were the newest, as far
-    /// as the sender has heard; 0 when it never did.
+    /// Milliseconds since the platform last confirmed, to any daemon that the sender knows of, that
+    /// the documents were the newest; 0 if it never did.
     #[prost(uint32, tag = "9")]
     pub confirmed: u32,
-    /// It answers another heartbeat.
+    /// Whether it answers another heartbeat.
     #[prost(bool, tag = "10")]
     pub reply: bool,
 }
 
-/// What one daemon knows of another.
+/// What one daemon knows of another one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MemberRecord {
     /// The VM.
@@ -50,7 +51,7 @@
     /// Its highest heartbeat counter.
     #[prost(uint64, tag = "3")]
     pub counter: u64,
-    /// It is shutting down.
+    /// Whether it is shutting down.
     #[prost(bool, tag = "4")]
     pub leaving: bool,
     /// Milliseconds since that heartbeat.
--- a/crates/basilbank_wire/src/message/slots.rs
+++ b/crates/basilbank_wire/src/message/slots.rs
@@ -1,6 +1,6 @@
-//! Slots at endpoints: between those that need one and the endpoint's steward.
+//! Slots at endpoints: messages between the daemons that need slots and the endpoint's owner.
 
-/// Asks an endpoint's steward for a slot.
+/// Asks an endpoint's owner for a slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Reserve {
     /// The endpoint.
@@ -9,39 +9,40 @@
     /// The request.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// The attempt of the request, from 0.
+    /// Number of the request's attempt, from 0.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// The catalogue entry whose share it uses.
+    /// The catalogue entry whose share of the slots it uses.
     #[prost(fixed64, tag = "4")]
     pub entry: u64,
-    /// Tokens expected to be held or prefilled.
+    /// Number of tokens that are expected to be held or prefilled.
     #[prost(uint32, tag = "5")]
     pub tokens: u32,
-    /// How long the sender may wait for the slot; 0 asks for an answer at once.
+    /// How long the sender can wait for the slot; 0 asks for an immediate answer.
     #[prost(uint32, tag = "6")]
     pub wait: u32,
-    /// Milliseconds left until the request's first-token target.
+    /// Milliseconds left until the request's target for the first token.
     #[prost(sint32, tag = "7")]
     pub slack: i32,
     /// Milliseconds from the grant until the slot will be used.
     #[prost(uint32, tag = "8")]
     pub lead: u32,
-    /// Tokens whose KV cache will leave the endpoint over its link afterwards.
+    /// Number of tokens whose KV cache will be transferred from the endpoint over its network link
+    /// afterwards.
     #[prost(uint32, tag = "9")]
     pub sent: u32,
-    /// A block near the prompt's end, 0 for none: when the endpoint has it cached, `cached` fewer
-    /// tokens are prefilled.
+    /// A block near the end of the prompt; 0 for none. If the endpoint has it cached, `cached`
+    /// fewer tokens are prefilled.
     #[prost(fixed64, tag = "10")]
     pub block: u64,
-    /// Tokens up to that block's end.
+    /// Number of prompt tokens up to the end of that block.
     #[prost(uint32, tag = "11")]
     pub cached: u32,
-    /// The caller has part of the answer: the request goes on from there.
+    /// Whether the caller has part of the answer, so that the request continues from there.
     #[prost(bool, tag = "12")]
     pub begun: bool,
-    /// This steward was asked first. It alone may take a slot back for the request, else each of
-    /// those that were asked would.
+    /// Whether this owner was asked first. Only that owner may preempt a slot for the request;
+    /// otherwise each owner that was asked would do so.
     #[prost(bool, tag = "13")]
     pub first: bool,
 }
@@ -58,32 +59,33 @@
     /// The attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// The lease's length; `Holds` renews it.
+    /// Duration of the lease; `Holds` renews it.
     #[prost(uint32, tag = "4")]
     pub lease: u32,
-    /// Free slots left after this grant, a hint for placement.
+    /// Number of free slots left after this grant, a hint for placement.
     #[prost(uint32, tag = "5")]
     pub free: u32,
-    /// The slot is lent: its entry is above its owed share, so it may be preempted.
+    /// Whether the slot is lent: its entry held its owed share already, so the slot may be
+    /// preempted.
     #[prost(bool, tag = "6")]
     pub lent: bool,
 }
 
-/// Why a steward denies a slot.
+/// Reason of an owner for denying a slot.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum DenyReason {
-    /// No slot came free in time.
+    /// No slot became free in time.
     Full = 0,
-    /// Free slots are kept for teams that are owed them.
+    /// Free slots are reserved for teams that are owed them.
     Owed = 1,
     /// The endpoint is leaving or unknown.
     Leaving = 2,
-    /// The receiver is not the endpoint's steward.
+    /// The receiver of the request is not the endpoint's owner.
     NotSteward = 3,
-    /// The steward is still learning what is held.
+    /// The owner is still collecting information about held slots.
     Rebuilding = 4,
-    /// The steward was paused or is cut off.
+    /// The owner was paused or is isolated.
     Isolated = 5,
 }
 
@@ -99,15 +101,15 @@
     /// The attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// Why.
+    /// The reason.
     #[prost(enumeration = "DenyReason", tag = "4")]
     pub reason: i32,
-    /// When another try may succeed.
+    /// Time until another request may succeed.
     #[prost(uint32, tag = "5")]
     pub retry: u32,
 }
 
-/// Gives a slot, or the wait for one, back.
+/// Returns a slot, or withdraws the request for one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Release {
     /// The endpoint.
@@ -119,15 +121,15 @@
     /// The attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// The transfer between the endpoint and this one made no progress; 0 when nothing stalled.
+    /// The other endpoint of a transfer that made no progress; 0 if no transfer stalled.
     #[prost(fixed64, tag = "4")]
     pub stalled: u64,
-    /// The endpoint refused the work as full, though the slot was granted.
+    /// Whether the endpoint refused the work as full although the slot was granted.
     #[prost(bool, tag = "5")]
     pub full: bool,
 }
 
-/// A new steward's question.
+/// Asks, as the new owner of an endpoint, for the slots that the receiver holds there.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AskHolds {
     /// The endpoint.
@@ -135,13 +137,13 @@
     pub endpoint: u64,
 }
 
-/// All that one daemon holds at one endpoint.
+/// All slots that one daemon holds at one endpoint.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Holds {
     /// The endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
-    /// The holds.
+    /// The held slots.
     #[prost(message, repeated, tag = "2")]
     pub holds: Vec<Hold>,
 }
@@ -158,7 +160,7 @@
     /// The catalogue entry.
     #[prost(fixed64, tag = "3")]
     pub entry: u64,
-    /// Tokens expected to be held.
+    /// Number of tokens that are expected to be held.
     #[prost(uint32, tag = "4")]
     pub tokens: u32,
 }
