--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -210,7 +210,7 @@
         return;
     }
     let members = &state.members;
-    let voters = claim.next_voters(|vm| (vm != members.own, !members.is_live(vm)));
+    let voters = claim.select_voters(|vm| (vm != members.own, !members.is_live(vm)));
     let message = Claim {
         key: claim.key.0.to_vec(),
         request: id.0,
--- a/crates/basilbank_core/src/reduce/queue.rs
+++ b/crates/basilbank_core/src/reduce/queue.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     ids::{EntryId, VmId},
-    state::{Group, Ledger, SlotKey, SlotLease, View, WaitQueue, Waiter},
+    state::{Ledger, PriorityGroup, SlotKey, SlotLease, View, WaitQueue, Waiter},
     time::Now,
 };
 
@@ -32,14 +32,14 @@
     /// Whether its entry already holds the share that it is owed, so that the slot is lent.
     pub lent: bool,
     /// Group that the reservation is in.
-    pub group: Group,
+    pub group: PriorityGroup,
 }
 
 /// Sort key of reservations; lower ranks are served first.
 #[derive(Clone, Copy, PartialEq, PartialOrd, Debug)]
 struct Rank {
     lent: bool,
-    group: Group,
+    group: PriorityGroup,
     /// Used slots relative to the weight of the entry; 0 if the entry holds less than it is owed.
     usage_ratio: f64,
     /// Time at which it is due, or at which it arrived if it is late.
@@ -96,7 +96,7 @@
         count_served_before(ledger, &ledger.waiting, view, waiter.entry, group, ahead);
     let wait = ledger.slot_interval? * (1 + served_before);
     let late_wait = ledger.late_wait(now.mono);
-    Some(if group == Group::Late { wait.max(late_wait) } else { wait })
+    Some(if group == PriorityGroup::Late { wait.max(late_wait) } else { wait })
 }
 
 /// Removes the reservations that can't be served before their deadlines. Also returns how long a
@@ -105,7 +105,7 @@
 pub fn remove_infeasible(ledger: &mut Ledger, view: &View, now: Now) -> (Vec<Waiter>, Duration) {
     let Some(slot_interval) = ledger.slot_interval else { return Default::default() };
     let mut waiting = std::mem::take(&mut ledger.waiting);
-    if waiting.queues().any(|(_, queue)| queue.has_group(Group::Late)) {
+    if waiting.queues().any(|(_, queue)| queue.has_group(PriorityGroup::Late)) {
         ledger.record_late_wait(now.mono);
     }
     // Reservations that are in time are served before late ones and keep arriving, so their current
@@ -115,7 +115,7 @@
     let infeasible = waiting.remove_matching(|waiting, waiter, group, ahead| {
         let served_before = count_served_before(ledger, waiting, view, waiter.entry, group, ahead);
         let wait = slot_interval * (1 + served_before);
-        let wait = if group == Group::Late { wait.max(late_wait) } else { wait };
+        let wait = if group == PriorityGroup::Late { wait.max(late_wait) } else { wait };
         waiter.deadline < now.mono + wait
     });
     ledger.waiting = waiting;
@@ -162,10 +162,10 @@
 
 /// Returns whether a slot is taken back for a reservation: it has used up much of its time, and it
 /// is due before a slot is likely to become free.
-fn is_urgent(group: Group, waiter: &Waiter, now: Now, likely_free_by: Duration) -> bool {
+fn is_urgent(group: PriorityGroup, waiter: &Waiter, now: Now, likely_free_by: Duration) -> bool {
     let min_wait = waiter.due.saturating_sub(waiter.arrived_at) / URGENT_WAIT_DIVISOR;
     let has_waited = waiter.arrived_at + min_wait <= now.mono;
-    group != Group::Late && waiter.can_preempt && has_waited && waiter.due < likely_free_by
+    group != PriorityGroup::Late && waiter.can_preempt && has_waited && waiter.due < likely_free_by
 }
 
 fn select_victim(ledger: &Ledger, view: &View) -> Option<SlotKey> {
@@ -194,7 +194,7 @@
     waiting: &WaitQueue,
     view: &View,
     entry: EntryId,
-    group: Group,
+    group: PriorityGroup,
     ahead: usize,
 ) -> u32 {
     let share = FairShare::of(ledger, view, entry);
--- a/crates/basilbank_core/src/reduce/slots.rs
+++ b/crates/basilbank_core/src/reduce/slots.rs
@@ -12,7 +12,7 @@
     effect::{Effect, Progress},
     ids::{EndpointId, EntryId, RequestId, VmId},
     reduce::{health, order, peer, queue, reserve},
-    state::{Group, Ledger, SlotKey, SlotLease, State, Timer, Waiter},
+    state::{Ledger, PriorityGroup, SlotKey, SlotLease, State, Timer, Waiter},
     time::Now,
 };
 
@@ -46,7 +46,7 @@
 /// Denies a reservation that can't be granted in the time it may wait.
 fn deny_if_too_late(state: &mut State, now: Now, key: SlotKey, out: &mut Vec<Effect>) {
     let Some(ledger) = state.slots.ledgers.get_mut(&key.endpoint) else { return };
-    if ledger.waiting.position(key).is_some_and(|(group, _)| group == Group::Late) {
+    if ledger.waiting.position(key).is_some_and(|(group, _)| group == PriorityGroup::Late) {
         ledger.record_late_wait(now.mono);
     }
     let Some(wait) = queue::estimate_wait(ledger, &state.view, key, now) else { return };
@@ -114,7 +114,7 @@
             lent: choice.lent,
             preempted_at: None,
         };
-        if choice.group == Group::Late {
+        if choice.group == PriorityGroup::Late {
             ledger.late_granted = now.mono;
         }
         ledger.add_lease(waiter.key, lease);
--- a/crates/basilbank_core/src/state.rs
+++ b/crates/basilbank_core/src/state.rs
@@ -46,7 +46,7 @@
     slots::{OwnSlot, SlotKey, Slots},
     timers::{Timer, Timers},
     view::View,
-    wait_queue::{EntryQueue, Group, WaitQueue, Waiter},
+    wait_queue::{EntryQueue, PriorityGroup, WaitQueue, Waiter},
 };
 use crate::{
     ids::{DataCentreId, EndpointId, VmId},
--- a/crates/basilbank_core/src/state/attempt.rs
+++ b/crates/basilbank_core/src/state/attempt.rs
@@ -88,7 +88,7 @@
 impl Attempt {
     /// Creates an attempt that waits for its first slot.
     #[must_use]
-    pub fn new(request: RequestKey, number: u32, base: u32, now: Duration) -> Attempt {
+    pub fn new(request: RequestKey, number: u32, base_offset: u32, now: Duration) -> Attempt {
         Attempt {
             request,
             number,
@@ -101,7 +101,7 @@
             prefill_slot: None,
             kv_cache: None,
             stream: None,
-            base_offset: base,
+            base_offset,
             next_offset: 0,
             decode_granted: now,
             prefill_started: now,
--- a/crates/basilbank_core/src/state/claims/own_claim.rs
+++ b/crates/basilbank_core/src/state/claims/own_claim.rs
@@ -92,32 +92,32 @@
     /// is answering an earlier question.
     #[must_use]
     pub fn is_awaiting(&self, vm: VmId) -> bool {
-        self.voters.iter().any(|b| b.vm == vm && b.asked)
+        self.voters.iter().any(|v| v.vm == vm && v.asked)
     }
 
     /// Records a vote.
     pub fn record_vote(&mut self, vm: VmId, verdict: Verdict, record: Option<KeyRecord>) {
-        let Some(ballot) = self.voters.iter_mut().find(|b| b.vm == vm) else { return };
-        ballot.verdict = Some(verdict);
-        ballot.record = record;
+        let Some(voter) = self.voters.iter_mut().find(|v| v.vm == vm) else { return };
+        voter.verdict = Some(verdict);
+        voter.record = record;
     }
 
     /// Records that a voter has acknowledged the newest record.
     pub fn record_ack(&mut self, vm: VmId) {
-        let Some(ballot) = self.voters.iter_mut().find(|b| b.vm == vm) else { return };
-        ballot.acknowledged = true;
+        let Some(voter) = self.voters.iter_mut().find(|v| v.vm == vm) else { return };
+        voter.acknowledged = true;
     }
 
     /// Whether all voters that were asked have acknowledged the newest record.
     #[must_use]
     pub fn is_acknowledged(&self) -> bool {
-        self.voters.iter().all(|b| b.acknowledged || !b.asked)
+        self.voters.iter().all(|v| v.acknowledged || !v.asked)
     }
 
     /// Marks the record as changed: all voters have to acknowledge it again.
     pub fn reset_acks(&mut self) {
-        for ballot in &mut self.voters {
-            ballot.acknowledged = false;
+        for voter in &mut self.voters {
+            voter.acknowledged = false;
         }
         self.send_count = 0;
     }
@@ -133,25 +133,25 @@
     /// Two votes win, so the two voters of the lowest cost are asked first, and the third one if
     /// one of them does not grant the key. After that, all voters that have not granted it are
     /// asked again, since a voter that gave the key to another request may have got it back.
-    pub fn next_voters<C: Ord>(&mut self, cost: impl Fn(VmId) -> C) -> Vec<VmId> {
+    pub fn select_voters<C: Ord>(&mut self, cost: impl Fn(VmId) -> C) -> Vec<VmId> {
         let needed = self.quorum();
-        let is_first = !self.voters.iter().any(|b| b.asked);
-        let mut open: Vec<_> = self.voters.iter_mut().filter(|b| b.can_grant()).collect();
+        let is_first = !self.voters.iter().any(|v| v.asked);
+        let mut candidates: Vec<_> = self.voters.iter_mut().filter(|v| v.can_grant()).collect();
         if is_first {
-            open.sort_by_key(|b| cost(b.vm));
-            open.truncate(needed);
+            candidates.sort_by_key(|v| cost(v.vm));
+            candidates.truncate(needed);
         }
-        for ballot in &mut open {
-            ballot.asked = true;
+        for voter in &mut candidates {
+            voter.asked = true;
         }
-        open.into_iter().map(|b| b.vm).collect()
+        candidates.into_iter().map(|v| v.vm).collect()
     }
 
     /// Whether all voters that were asked have answered, and at least one has not been asked.
     #[must_use]
     pub fn needs_more_voters(&self) -> bool {
-        let mut asked = self.voters.iter().filter(|b| b.asked);
-        asked.all(|b| b.verdict.is_some()) && self.voters.iter().any(|b| !b.asked)
+        let mut asked = self.voters.iter().filter(|v| v.asked);
+        asked.all(|v| v.verdict.is_some()) && self.voters.iter().any(|v| !v.asked)
     }
 
     /// Evaluates the votes. `waited` says whether the voters without an answer have had enough
@@ -183,13 +183,13 @@
     }
 
     fn count_votes(&self, verdict: Option<Verdict>) -> usize {
-        self.voters.iter().filter(|b| b.verdict == verdict).count()
+        self.voters.iter().filter(|v| v.verdict == verdict).count()
     }
 
     /// Returns the request that certainly has the key: it has a stream, it has ended, or a majority
     /// of the voters names it.
     fn winner(&self) -> Option<KeyRecord> {
-        let records = || self.voters.iter().filter_map(|b| b.record.as_ref());
+        let records = || self.voters.iter().filter_map(|v| v.record.as_ref());
         let ended = records().find(|r| r.outcome != 0);
         let streamed = || records().find(|r| !r.stream.is_empty());
         let by_majority = || {
@@ -201,8 +201,8 @@
 
     /// Resets all votes, so that the voters are asked again.
     pub fn reset_votes(&mut self) {
-        for ballot in &mut self.voters {
-            *ballot = Voter::new(ballot.vm);
+        for voter in &mut self.voters {
+            *voter = Voter::new(voter.vm);
         }
         self.send_count = 0;
     }
@@ -210,13 +210,13 @@
     /// Returns another request that a voter has reported.
     #[must_use]
     pub fn competing_record(&self) -> Option<KeyRecord> {
-        self.voters.iter().find_map(|b| b.record.clone())
+        self.voters.iter().find_map(|v| v.record.clone())
     }
 
     /// Whether the highest-ranking vote that was given to any request was given to this one.
     fn has_first_vote(&self) -> bool {
-        let mut given = self.voters.iter().filter_map(|b| b.verdict);
-        let first = given.find(|v| matches!(v, Verdict::Granted | Verdict::Running));
+        let mut votes = self.voters.iter().filter_map(|v| v.verdict);
+        let first = votes.find(|v| matches!(v, Verdict::Granted | Verdict::Running));
         first == Some(Verdict::Granted)
     }
 }
--- a/crates/basilbank_core/src/state/documents/fetch.rs
+++ b/crates/basilbank_core/src/state/documents/fetch.rs
@@ -38,11 +38,11 @@
     /// Reads the revisions that a peer's heartbeat advertises.
     #[must_use]
     pub fn from_heartbeat(from: VmId, heartbeat: &Heartbeat) -> AdvertisedRevisions {
-        let offer = |revision| AdvertisedRevision { revision, from };
+        let advertised = |revision| AdvertisedRevision { revision, from };
         AdvertisedRevisions {
-            catalogue: offer(heartbeat.catalogue),
-            documents: offer(heartbeat.documents),
-            vms: offer(heartbeat.vms),
+            catalogue: advertised(heartbeat.catalogue),
+            documents: advertised(heartbeat.documents),
+            vms: advertised(heartbeat.vms),
         }
     }
 
--- a/crates/basilbank_core/src/state/ledger.rs
+++ b/crates/basilbank_core/src/state/ledger.rs
@@ -192,8 +192,8 @@
     /// Returns how long a new reservation would wait behind all others.
     #[must_use]
     pub fn expected_wait(&self, now: Duration) -> Duration {
-        let pace = self.slot_interval.unwrap_or_default();
-        (pace * (1 + self.waiting.len() as u32)).max(self.late_wait(now))
+        let interval = self.slot_interval.unwrap_or_default();
+        (interval * (1 + self.waiting.len() as u32)).max(self.late_wait(now))
     }
 
     /// Adds a waiting reservation.
@@ -312,12 +312,12 @@
     /// Records that a slot came free or that a reservation was withdrawn, and updates
     /// `slot_interval`.
     pub fn record_change(&mut self, now: Duration) {
-        const MEAN_WEIGHT: u32 = 8;
+        const AVERAGE_WINDOW: u32 = 8;
         const MAX_GAP: Duration = Duration::from_secs(5);
         let gap = now.saturating_sub(self.last_change).min(MAX_GAP);
         self.last_change = now;
         self.slot_interval = Some(match self.slot_interval {
-            Some(pace) => (pace * (MEAN_WEIGHT - 1) + gap) / MEAN_WEIGHT,
+            Some(interval) => (interval * (AVERAGE_WINDOW - 1) + gap) / AVERAGE_WINDOW,
             None => gap,
         });
     }
--- a/crates/basilbank_core/src/state/limits/portion.rs
+++ b/crates/basilbank_core/src/state/limits/portion.rs
@@ -6,7 +6,7 @@
 /// Fraction of a limit from which the demand counts as a shortage.
 pub const SHORTAGE_FRACTION: f64 = 0.9;
 /// A lease is at most this many times the demand.
-const MAX_DEMAND_FACTOR: f64 = 4.0;
+const MAX_LEASE_FACTOR: f64 = 4.0;
 
 /// One limit and the numbers that determine one daemon's portion of it.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
     /// that the next daemon whose traffic begins finds something left. It stays within what is not
     /// leased.
     pub fn lease_size(&self) -> f64 {
-        self.cap_to_available(self.fair_size().min(self.demand * MAX_DEMAND_FACTOR + self.per_vm))
+        self.cap_to_available(self.fair_size().min(self.demand * MAX_LEASE_FACTOR + self.per_vm))
     }
 
     /// Returns the size of a ration: proportional to demand, within what is not leased.
--- a/crates/basilbank_core/src/state/limits/rate_meter.rs
+++ b/crates/basilbank_core/src/state/limits/rate_meter.rs
@@ -19,11 +19,11 @@
 impl<const SPAN_SECONDS: u32> RateMeter<SPAN_SECONDS> {
     /// Adds an amount.
     pub fn add(&mut self, amount: f64, mono: Duration) {
-        let left = self.sum(mono);
-        if left < NEGLIGIBLE_SUM {
+        let remaining = self.sum(mono);
+        if remaining < NEGLIGIBLE_SUM {
             self.started_at = mono;
         }
-        self.sum = left + amount;
+        self.sum = remaining + amount;
         self.updated_at = mono;
     }
 
--- a/crates/basilbank_core/src/state/limits/shared.rs
+++ b/crates/basilbank_core/src/state/limits/shared.rs
@@ -297,9 +297,9 @@
     #[must_use]
     pub fn is_nearly_leased(&self, limits: &Limits, mono: Duration) -> bool {
         let leased = self.leased(None, mono);
-        let is_gone =
+        let is_exhausted =
             |limit: f64, leased: f64| 0.0 < limit && limit * (1.0 - SPARE_FRACTION / 2.0) < leased;
-        is_gone(limits.requests, leased.requests) || is_gone(limits.tokens, leased.tokens)
+        is_exhausted(limits.requests, leased.requests) || is_exhausted(limits.tokens, leased.tokens)
     }
 
     /// Whether no daemon uses the entry any more.
--- a/crates/basilbank_core/src/state/limits/usage.rs
+++ b/crates/basilbank_core/src/state/limits/usage.rs
@@ -13,11 +13,11 @@
 const FEW_CALLS: f64 = 3.0;
 /// Number of requests that any ration may save up, since a call comes only some time after the
 /// first one is saved up.
-const MAX_SAVED_REQUESTS: f64 = 2.0;
+const MIN_RATION_BURST: f64 = 2.0;
 /// A ration may save up the requests of this many seconds, if these are more.
-const MAX_SAVED_SECONDS: f64 = 5.0;
+const RATION_BURST_SECONDS: f64 = 5.0;
 /// How long the savings of a ration are kept without a new ration.
-const RATION_MEMORY: Duration = Duration::from_secs(60);
+const RATION_SAVINGS_RETENTION: Duration = Duration::from_secs(60);
 /// Minimum burst of a lease in requests.
 const MIN_LEASE_BURST: f64 = 3.0;
 /// A burst is the amount for this many seconds.
@@ -137,7 +137,7 @@
     /// one request. The fraction differs between daemons, so that they do not all save up their
     /// first request and let it through at the same time.
     pub fn set_ration(&mut self, share: LimitShare, until: Duration, chance: f64, mono: Duration) {
-        let is_new = self.rationed_at.is_none_or(|at| at + RATION_MEMORY < mono);
+        let is_new = self.rationed_at.is_none_or(|at| at + RATION_SAVINGS_RETENTION < mono);
         self.rationed_at = Some(mono);
         let former = self.lease.map_or(share, |(former, _)| former);
         self.fill(&former, mono);
@@ -210,7 +210,7 @@
 
     fn fill(&mut self, share: &LimitShare, mono: Duration) {
         let min_burst = match (self.rationed_at, self.lease) {
-            (Some(_), _) => MAX_SAVED_REQUESTS.max(share.requests * MAX_SAVED_SECONDS),
+            (Some(_), _) => MIN_RATION_BURST.max(share.requests * RATION_BURST_SECONDS),
             (None, Some(_)) => MIN_LEASE_BURST,
             (None, None) => 1.0,
         };
--- a/crates/basilbank_core/src/state/wait_queue.rs
+++ b/crates/basilbank_core/src/state/wait_queue.rs
@@ -41,7 +41,7 @@
 
 /// Groups of one entry's reservations, in the order in which they are served.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Group {
+pub enum PriorityGroup {
     /// The caller has part of the answer and waits for the rest.
     Begun,
     /// The target can be met, and most of the prompt is cached.
@@ -52,9 +52,10 @@
     Late,
 }
 
-impl Group {
+impl PriorityGroup {
     /// All groups, in order.
-    pub const ALL: [Group; 4] = [Group::Begun, Group::Cached, Group::InTime, Group::Late];
+    pub const ALL: [PriorityGroup; 4] =
+        [PriorityGroup::Begun, PriorityGroup::Cached, PriorityGroup::InTime, PriorityGroup::Late];
 }
 
 /// Order of a reservation in its group: by its arrival if its caller has part of the answer or its
@@ -64,14 +65,14 @@
 /// Waiting reservations of one entry.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct EntryQueue {
-    groups: [BTreeMap<OrderKey, Waiter>; Group::ALL.len()],
+    groups: [BTreeMap<OrderKey, Waiter>; PriorityGroup::ALL.len()],
 }
 
 /// All reservations that wait at one endpoint.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct WaitQueue {
     queues: BTreeMap<EntryId, EntryQueue>,
-    positions: HashMap<SlotKey, (EntryId, Group, OrderKey)>,
+    positions: HashMap<SlotKey, (EntryId, PriorityGroup, OrderKey)>,
     sequence: u64,
 }
 
@@ -86,10 +87,10 @@
         self.insert_in_group(waiter, group, self.sequence);
     }
 
-    fn insert_in_group(&mut self, waiter: Waiter, group: Group, sequence: u64) {
+    fn insert_in_group(&mut self, waiter: Waiter, group: PriorityGroup, sequence: u64) {
         let at = match group {
-            Group::Begun | Group::Late => waiter.arrived_at,
-            Group::Cached | Group::InTime => waiter.due,
+            PriorityGroup::Begun | PriorityGroup::Late => waiter.arrived_at,
+            PriorityGroup::Cached | PriorityGroup::InTime => waiter.due,
         };
         let order = (at, sequence);
         self.positions.insert(waiter.key, (waiter.entry, group, order));
@@ -113,7 +114,7 @@
     /// that stay ahead of it.
     pub fn remove_matching(
         &mut self,
-        matches: impl Fn(&WaitQueue, &Waiter, Group, usize) -> bool,
+        matches: impl Fn(&WaitQueue, &Waiter, PriorityGroup, usize) -> bool,
     ) -> Vec<Waiter> {
         let mut keys = Vec::new();
         for queue in self.queues.values() {
@@ -133,14 +134,14 @@
     pub fn demote_late(&mut self, now: Duration) {
         let mut late = Vec::new();
         for queue in self.queues.values() {
-            for group in [Group::Cached, Group::InTime] {
+            for group in [PriorityGroup::Cached, PriorityGroup::InTime] {
                 let passed = queue.groups[group as usize].range(..(now, 0));
                 late.extend(passed.map(|(order, waiter)| (waiter.key, order.1)));
             }
         }
         for (key, sequence) in late {
             if let Some(waiter) = self.remove(key) {
-                self.insert_in_group(waiter, Group::Late, sequence);
+                self.insert_in_group(waiter, PriorityGroup::Late, sequence);
             }
         }
     }
@@ -152,7 +153,7 @@
 
     /// Returns the group of a reservation, and how many reservations of its entry are ahead of it.
     #[must_use]
-    pub fn position(&self, key: SlotKey) -> Option<(Group, usize)> {
+    pub fn position(&self, key: SlotKey) -> Option<(PriorityGroup, usize)> {
         let (entry, group, order) = self.positions.get(&key)?;
         let queue = self.queues.get(entry)?;
         let before: usize = queue.groups[..*group as usize].iter().map(BTreeMap::len).sum();
@@ -182,28 +183,28 @@
 
 impl EntryQueue {
     /// Returns all reservations with their groups, in order.
-    pub fn iter(&self) -> impl Iterator<Item = (Group, &Waiter)> {
-        let each = Group::ALL.into_iter().zip(&self.groups);
+    pub fn iter(&self) -> impl Iterator<Item = (PriorityGroup, &Waiter)> {
+        let each = PriorityGroup::ALL.into_iter().zip(&self.groups);
         each.flat_map(|(group, waiters)| waiters.values().map(move |w| (group, w)))
     }
 
     /// Returns the first reservation, with its group and the time by which it is ordered within the
     /// group.
     #[must_use]
-    pub fn first(&self) -> Option<(Group, Duration, &Waiter)> {
-        let mut firsts = Group::ALL.into_iter().zip(&self.groups);
+    pub fn first(&self) -> Option<(PriorityGroup, Duration, &Waiter)> {
+        let mut firsts = PriorityGroup::ALL.into_iter().zip(&self.groups);
         firsts.find_map(|(group, w)| w.first_key_value().map(|(order, w)| (group, order.0, w)))
     }
 
     /// Returns the number of reservations in a group and in those before it.
     #[must_use]
-    pub fn count_up_to(&self, group: Group) -> usize {
+    pub fn count_up_to(&self, group: PriorityGroup) -> usize {
         self.groups[..=group as usize].iter().map(BTreeMap::len).sum()
     }
 
     /// Whether there are reservations in a group.
     #[must_use]
-    pub fn has_group(&self, group: Group) -> bool {
+    pub fn has_group(&self, group: PriorityGroup) -> bool {
         !self.groups[group as usize].is_empty()
     }
 
@@ -212,14 +213,14 @@
     }
 }
 
-fn group_of(waiter: &Waiter, now: Duration) -> Group {
+fn group_of(waiter: &Waiter, now: Duration) -> PriorityGroup {
     if waiter.begun {
-        Group::Begun
+        PriorityGroup::Begun
     } else if waiter.due < now {
-        Group::Late
+        PriorityGroup::Late
     } else if waiter.tokens.saturating_mul(CACHED_RATIO) <= waiter.transfer_tokens {
-        Group::Cached
+        PriorityGroup::Cached
     } else {
-        Group::InTime
+        PriorityGroup::InTime
     }
 }
--- a/crates/basilbank_core/tests/policy/ledgers.rs
+++ b/crates/basilbank_core/tests/policy/ledgers.rs
@@ -4,7 +4,7 @@
 
 use basilbank_core::{
     ids::{EndpointId, EntryId, RequestId, VmId},
-    state::{Group, Ledger, Rebuild, ReportedLoad, SlotKey, SlotLease, WaitQueue, Waiter},
+    state::{Ledger, PriorityGroup, Rebuild, ReportedLoad, SlotKey, SlotLease, WaitQueue, Waiter},
 };
 
 fn at(millis: u64) -> Duration {
@@ -44,7 +44,7 @@
     }
 }
 
-fn order(waiting: &WaitQueue) -> Vec<(Group, u64)> {
+fn order(waiting: &WaitQueue) -> Vec<(PriorityGroup, u64)> {
     let all = waiting.queues().flat_map(|(_, line)| line.iter());
     all.map(|(group, waiter)| (group, waiter.key.request.0)).collect()
 }
@@ -58,12 +58,22 @@
     waiting.insert(waiter(2, 900), at(0));
     waiting.insert(Waiter { transfer_tokens: 2000, ..waiter(3, 2000) }, at(0));
     waiting.insert(Waiter { begun: true, ..waiter(4, 0) }, at(0));
-    let first = [(Group::Begun, 4), (Group::Cached, 3), (Group::InTime, 1), (Group::InTime, 2)];
+    let first = [
+        (PriorityGroup::Begun, 4),
+        (PriorityGroup::Cached, 3),
+        (PriorityGroup::InTime, 1),
+        (PriorityGroup::InTime, 2),
+    ];
     assert_eq!(order(&waiting), first);
     waiting.demote_late(at(600));
-    let then = [(Group::Begun, 4), (Group::Cached, 3), (Group::InTime, 2), (Group::Late, 1)];
+    let then = [
+        (PriorityGroup::Begun, 4),
+        (PriorityGroup::Cached, 3),
+        (PriorityGroup::InTime, 2),
+        (PriorityGroup::Late, 1),
+    ];
     assert_eq!(order(&waiting), then);
-    assert_eq!(waiting.position(key(1)), Some((Group::Late, 3)));
+    assert_eq!(waiting.position(key(1)), Some((PriorityGroup::Late, 3)));
 }
 
 /// Symptom: a reservation that is sent again, in case it was lost, takes two places.
