--- a/crates/basilbank/src/callers/draft.rs
+++ b/crates/basilbank/src/callers/draft.rs
@@ -49,7 +49,13 @@
         let envelope = Envelope::new(shape, &form.model, self.unix_seconds());
         let held = HeldDraft { prompt: form.prompt, given: Mutex::default() };
         let (caller, replies) = self.callers.open_draft(held, self.config.limits.backlog);
-        let call = Call { caller, key, idempotency, repeatable, kind: CallKind::Completion(draft) };
+        let call = Call {
+            caller,
+            key,
+            idempotency_key: idempotency,
+            repeatable,
+            kind: CallKind::Completion(draft),
+        };
         let open = OpenCall::begin(call, replies, &self.events, &self.callers)?;
         match form.mode {
             Mode::Whole => whole::answer(open, &envelope).await,
--- a/crates/basilbank/src/callers/plain.rs
+++ b/crates/basilbank/src/callers/plain.rs
@@ -41,7 +41,7 @@
             HeldPlain { method: method.to_string(), target, headers: to_service(headers), body };
         let (caller, replies) = self.callers.open_plain(held);
         let work = CallKind::Plain(PlainCall { method: method.to_string(), path });
-        let call = Call { caller, key, idempotency, repeatable, kind: work };
+        let call = Call { caller, key, idempotency_key: idempotency, repeatable, kind: work };
         let mut open = OpenCall::begin(call, replies, &self.events, &self.callers)?;
         loop {
             let error = match open.next().await {
--- a/crates/basilbank/src/logs.rs
+++ b/crates/basilbank/src/logs.rs
@@ -145,10 +145,10 @@
             .with("request", request)
             .with("entry", names.entry(*entry))
             .with_ms("ttft_ms", *ttft),
-        Progress::Wasted { request, waste, prefill, tokens } => Line::new("wasted")
+        Progress::Wasted { request, waste, prefill_time, tokens } => Line::new("wasted")
             .with("request", request)
             .with("reason", waste.as_str())
-            .with_ms("prefill_ms", *prefill)
+            .with_ms("prefill_ms", *prefill_time)
             .with("tokens", tokens),
         Progress::Settled { .. } => settled(progress, names),
         Progress::Note { name, fields } => {
--- a/crates/basilbank/src/metrics.rs
+++ b/crates/basilbank/src/metrics.rs
@@ -76,7 +76,7 @@
                 let class = Class { class: names.class_of(*entry).to_owned() };
                 f.ttft.get_or_create(&class).observe(ttft.as_secs_f64());
             }
-            Progress::Wasted { waste, prefill, tokens, .. } => {
+            Progress::Wasted { waste, prefill_time: prefill, tokens, .. } => {
                 self.wasted(*waste, *prefill, *tokens);
             }
             Progress::Settled { .. } => self.settled(progress, names),
--- a/crates/basilbank/tests/callers_http/drafts.rs
+++ b/crates/basilbank/tests/callers_http/drafts.rs
@@ -23,6 +23,6 @@
     assert_eq!(edge.callers.draft(call.caller).unwrap().prompt, prompt);
     assert_eq!((draft.max_tokens, draft.resume.as_ref()), (max_tokens, None));
     assert_eq!(draft.prompt_tokens as usize, prompt.split_whitespace().count());
-    assert_eq!((call.idempotency.as_deref(), call.repeatable), (Some("k-1"), None));
+    assert_eq!((call.idempotency_key.as_deref(), call.repeatable), (Some("k-1"), None));
     assert_eq!(call.key, <KeyHash>::from(Sha256::digest(b"key-a")));
 }
--- a/crates/basilbank/tests/callers_http/plain.rs
+++ b/crates/basilbank/tests/callers_http/plain.rs
@@ -29,7 +29,7 @@
     assert_eq!(client.head().status, 100);
     client.send("body");
     let call = edge.arrived();
-    assert_eq!((call.idempotency.as_deref(), call.repeatable), (Some("k-1"), Some(true)));
+    assert_eq!((call.idempotency_key.as_deref(), call.repeatable), (Some("k-1"), Some(true)));
     let CallKind::Plain(plain) = &call.kind else { panic!("expected a plain call") };
     assert_eq!((plain.method.as_str(), plain.path.as_str()), ("PUT", "/desk/st%C3%B6d/a%2Fb"));
     let expected = HeldPlain {
--- a/crates/basilbank/tests/shell/observe.rs
+++ b/crates/basilbank/tests/shell/observe.rs
@@ -59,7 +59,8 @@
     metrics.progress(&Progress::Retried { request, retry, backoff }, &names);
     let prefill = Duration::from_millis(250);
     let waste = Waste::CallerLeft;
-    metrics.progress(&Progress::Wasted { request, waste, prefill, tokens: 3 }, &names);
+    metrics
+        .progress(&Progress::Wasted { request, waste, prefill_time: prefill, tokens: 3 }, &names);
     metrics.progress(&settled(Outcome::Done), &names);
     let text = metrics.text();
     for line in [
--- a/crates/basilbank_core/src/effect.rs
+++ b/crates/basilbank_core/src/effect.rs
@@ -281,7 +281,7 @@
         /// Why the work was wasted.
         waste: Waste,
         /// Prefill time that was wasted.
-        prefill: Duration,
+        prefill_time: Duration,
         /// Number of generated tokens that were wasted.
         tokens: u32,
     },
--- a/crates/basilbank_core/src/event.rs
+++ b/crates/basilbank_core/src/event.rs
@@ -52,7 +52,7 @@
     /// SHA-256 of the bearer key that the caller presented.
     pub key: KeyHash,
     /// Idempotency key, if the caller sent one.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Whether the caller allows the call to be run more than once; `None` if it does not say.
     pub repeatable: Option<bool>,
     /// What the caller asks for.
--- a/crates/basilbank_core/src/reduce/waste.rs
+++ b/crates/basilbank_core/src/reduce/waste.rs
@@ -19,7 +19,7 @@
     out: &mut Vec<Effect>,
 ) {
     let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
-    let prefill = match attempt.stage {
+    let prefill_time = match attempt.stage {
         AttemptStage::Prefill => now.mono.saturating_sub(attempt.stage_since),
         AttemptStage::Relocating | AttemptStage::Import | AttemptStage::Stream => {
             attempt.prefill_time
@@ -28,16 +28,16 @@
             Duration::ZERO
         }
     };
-    if prefill.is_zero() {
+    if prefill_time.is_zero() {
         return;
     }
     let request = state.requests.arena[attempt.request].id;
-    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens: 0 }));
+    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill_time, tokens: 0 }));
 }
 
 /// Records tokens that the caller had already received.
 pub fn record_duplicates(request: RequestId, tokens: u32, out: &mut Vec<Effect>) {
     let waste = Waste::Duplicate;
-    let prefill = Duration::ZERO;
-    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens }));
+    let prefill_time = Duration::ZERO;
+    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill_time, tokens }));
 }
--- a/crates/basilbank_core/src/state/requests.rs
+++ b/crates/basilbank_core/src/state/requests.rs
@@ -212,7 +212,7 @@
             entry,
             completion: None,
             repeatable: false,
-            idempotency_key: call.idempotency.clone(),
+            idempotency_key: call.idempotency_key.clone(),
             joined: false,
             accepted_at: at,
             due: at,
--- a/crates/basilbank_core/tests/catalogue.rs
+++ b/crates/basilbank_core/tests/catalogue.rs
@@ -244,7 +244,7 @@
     let work =
         CallKind::Plain(PlainCall { method: "GET".into(), path: "/fitter-desk/item".into() });
     let (caller, key) = (CallerId(1), Spec::key(0));
-    let call = Call { caller, key, idempotency: None, repeatable: None, kind: work };
+    let call = Call { caller, key, idempotency_key: None, repeatable: None, kind: work };
     let out = feed(&mut world, 3, Event::Caller(CallerEvent::Arrived(Box::new(call))));
     let is_refused = |e: &Effect| {
         let Effect::Answer { answer: Answer::Refused { refusal, .. }, .. } = e else {
--- a/crates/basilbank_core/tests/daemons/fleet.rs
+++ b/crates/basilbank_core/tests/daemons/fleet.rs
@@ -218,7 +218,7 @@
         self.callers += 1;
         let caller = CallerId(self.callers);
         let (key, idempotency) = (Spec::key(TEAM), key.map(str::to_owned));
-        let call = Call { caller, key, idempotency, repeatable: None, kind: work };
+        let call = Call { caller, key, idempotency_key: idempotency, repeatable: None, kind: work };
         self.feed(index, Event::Caller(CallerEvent::Arrived(Box::new(call))));
         caller
     }
--- a/crates/basilbank_core/tests/world/callers.rs
+++ b/crates/basilbank_core/tests/world/callers.rs
@@ -141,7 +141,7 @@
         let call = Call {
             caller: CallerId(number as u64 + 1),
             key: Spec::key(asked.team),
-            idempotency: asked.idempotency(),
+            idempotency_key: asked.idempotency(),
             repeatable: asked.repeatable,
             kind: work,
         };
--- a/crates/basilbank_core/tests/world/record.rs
+++ b/crates/basilbank_core/tests/world/record.rs
@@ -212,7 +212,7 @@
             Progress::Retried { retry, .. } => {
                 *self.record.retries.entry(retry).or_default() += 1;
             }
-            Progress::Wasted { waste, prefill, tokens, .. } => {
+            Progress::Wasted { waste, prefill_time: prefill, tokens, .. } => {
                 let sum = self.record.wastes.entry(waste).or_default();
                 *sum = (sum.0 + 1, sum.1 + prefill, sum.2 + u64::from(tokens));
             }
