--- a/crates/basilbank_core/src/effect.rs
+++ b/crates/basilbank_core/src/effect.rs
@@ -16,7 +16,7 @@
     Answer {
         /// Caller to answer.
         caller: CallerId,
-        /// The answer.
+        /// Answer to send.
         answer: Answer,
     },
     /// Call an endpoint.
@@ -25,7 +25,7 @@
     Send {
         /// VM of the peer.
         to: VmId,
-        /// The message.
+        /// Message to send.
         message: Message,
     },
     /// Watch the catalogue on the platform. The platform answers when it changes, or after a while.
@@ -223,7 +223,7 @@
 pub enum Progress {
     /// A request was accepted.
     Accepted {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Team that made the call.
         team: TeamId,
@@ -232,12 +232,12 @@
     },
     /// A request waits for capacity.
     Queued {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
     /// A slot was granted.
     Placed {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Endpoint that the slot belongs to.
         endpoint: EndpointId,
@@ -257,7 +257,7 @@
     },
     /// Another attempt follows a failed one.
     Retried {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Reason for the retry.
         retry: Retry,
@@ -266,7 +266,7 @@
     },
     /// The first token was sent to the caller.
     FirstToken {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Catalogue entry of the request.
         entry: EntryId,
@@ -276,7 +276,7 @@
     /// Work was done that no caller is charged for: a prefill whose result was not used, or tokens
     /// that the caller already had.
     Wasted {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Why the work was wasted.
         waste: Waste,
@@ -287,7 +287,7 @@
     },
     /// A request ended.
     Settled {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Team that made the call.
         team: TeamId,
--- a/crates/basilbank_core/src/event.rs
+++ b/crates/basilbank_core/src/event.rs
@@ -26,7 +26,7 @@
         from: VmId,
         /// Incarnation of the sender.
         incarnation: u64,
-        /// The message.
+        /// Message that was received.
         message: Message,
     },
     /// Event from the platform.
