--- a/crates/basilbank_forward/src/event.rs
+++ b/crates/basilbank_forward/src/event.rs
@@ -194,9 +194,9 @@
     /// The connection ended before the answer's header.
     Closed,
     /// The received data is not valid HTTP.
-    InvalidHttp,
+    Garbled,
     /// The answer carries another call's id, or lacks the mark that endpoints' answers carry.
-    Mismatched,
+    Foreign,
     /// The answer broke off before its end, or stalled.
     CutOff,
 }
@@ -207,8 +207,8 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Damage::Closed => "closed",
-            Damage::InvalidHttp => "garbled",
-            Damage::Mismatched => "foreign",
+            Damage::Garbled => "garbled",
+            Damage::Foreign => "foreign",
             Damage::CutOff => "cut_off",
         }
     }
--- a/crates/basilbank_gateway/src/calls.rs
+++ b/crates/basilbank_gateway/src/calls.rs
@@ -127,7 +127,7 @@
     let (head, body) = split(response);
     learn_limit(&router, &attempt, &head);
     match (dialect.head)(&original.call, &attempt.op, &head) {
-        Head::Unclear => Came::bare(Outcome::Broken(Damage::Mismatched)),
+        Head::Unclear => Came::bare(Outcome::Broken(Damage::Foreign)),
         Head::NotRun(why) => {
             keep_after(&router, &attempt, &head, body, link).await;
             Came::bare(Outcome::NotRun(why))
@@ -194,7 +194,7 @@
         router.links.keep(attempt.target.endpoint, link, kept);
     }
     let outcome = (router.dialect.own_body)(&attempt.op, &bytes);
-    Came::bare(outcome.unwrap_or(Outcome::Broken(Damage::InvalidHttp)))
+    Came::bare(outcome.unwrap_or(Outcome::Broken(Damage::Garbled)))
 }
 
 async fn whole(
--- a/crates/basilbank_gateway/src/links.rs
+++ b/crates/basilbank_gateway/src/links.rs
@@ -116,7 +116,7 @@
             Ok(Err(mut error)) => {
                 let unsent = error.take_message().map(Box::new);
                 let damage =
-                    if error.error().is_parse() { Damage::InvalidHttp } else { Damage::Closed };
+                    if error.error().is_parse() { Damage::Garbled } else { Damage::Closed };
                 Err((CallError::Broken(damage), unsent))
             }
             Err(_) => Err((CallError::Silent, None)),
