--- a/crates/basilbank_forward/src/event.rs
+++ b/crates/basilbank_forward/src/event.rs
@@ -188,7 +188,7 @@
     }
 }
 
-/// How an answer was damaged.
+/// How an answer was damaged. The gateway's logs contain the variants' names as `Debug` prints them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Damage {
     /// The connection ended before the answer's header.
