--- a/crates/basilbank_core/src/reduce/health.rs
+++ b/crates/basilbank_core/src/reduce/health.rs
@@ -20,8 +20,8 @@
 const EXCLUSION_THRESHOLD: u32 = 2;
 /// How long an endpoint gets no work after it refused a call as full.
 const FULL_PAUSE: Duration = Duration::from_millis(250);
-/// How long an endpoint gets no work after it refused a call because it is leaving. A load report
-/// in which it is not leaving ends this earlier.
+/// How long an endpoint gets no work after it refused a call because it is leaving. Its next load
+/// report ends this earlier and says whether it is leaving.
 const LEAVING_EXCLUSION: Duration = Duration::from_secs(10);
 
 /// Initial duration of the exclusion of an endpoint whose transfers stall.
--- a/crates/basilbank_core/src/reduce/retry.rs
+++ b/crates/basilbank_core/src/reduce/retry.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Handles an attempt's timer: fails the attempt if its time limit has passed, else sets the timer
-/// again.
+/// Handles an attempt's timer: asks further endpoints while the attempt waits for a slot, and fails
+/// it if the time limit of its stage has passed.
 pub fn on_timeout(state: &mut State, now: Now, attempt_key: AttemptKey, out: &mut Vec<Effect>) {
     let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
     let stage = attempt.stage;
@@ -272,7 +272,7 @@
     }
 }
 
-/// Handles the loss of a slot that its owner takes back: the request continues elsewhere if it can.
+/// Handles the preemption of a slot by its owner: the request continues elsewhere if it can.
 pub fn on_preempted(
     state: &mut State,
     now: Now,
