--- a/crates/basilbank_core/src/reduce/catalogue.rs
+++ b/crates/basilbank_core/src/reduce/catalogue.rs
@@ -51,8 +51,8 @@
     match state.documents.store.apply(after, revision, documents) {
         ApplyResult::Stale => {
             let known = state.documents.store.revision;
-            let pairs = vec![("revision", revision.to_string()), ("known", known.to_string())];
-            note(out, "documents_stale", pairs);
+            let fields = vec![("revision", revision.to_string()), ("known", known.to_string())];
+            note(out, "documents_stale", fields);
             DocumentsStatus::Dropped
         }
         ApplyResult::Gap => DocumentsStatus::Dropped,
@@ -77,8 +77,8 @@
         note(out, "vm_list_empty", vec![("revision", list.revision.to_string())]);
         return;
     }
-    let pairs = vec![("revision", list.revision.to_string()), ("vms", list.vms.len().to_string())];
-    note(out, "vm_list", pairs);
+    let fields = vec![("revision", list.revision.to_string()), ("vms", list.vms.len().to_string())];
+    note(out, "vm_list", fields);
     state.members.apply_list(&list.vms);
     state.documents.vms = list;
     freshness::start_contact_wait(state, now);
@@ -107,6 +107,6 @@
     Dropped,
 }
 
-fn note(out: &mut Vec<Effect>, name: &'static str, pairs: Vec<(&'static str, String)>) {
-    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
+fn note(out: &mut Vec<Effect>, name: &'static str, fields: Vec<(&'static str, String)>) {
+    out.push(Effect::Progress(Progress::Note { name, fields }));
 }
--- a/crates/basilbank_core/src/reduce/catalogue/check.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/check.rs
@@ -61,9 +61,9 @@
             if is_pending {
                 documents.accepted.check_failed();
             }
-            let pairs =
+            let fields =
                 vec![("revision", revision.to_string()), ("findings", findings.to_string())];
-            note(out, "catalogue_rejected", pairs);
+            note(out, "catalogue_rejected", fields);
         }
     }
     tick(state, now, out);
--- a/crates/basilbank_core/src/reduce/catalogue/freshness.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/freshness.rs
@@ -38,19 +38,20 @@
     if documents.freshness.is_fresh || in_force == 0 {
         return;
     }
-    let from = state.members.own_status.rejoining_since;
-    let all =
-        state.members.count_members(|m| m.last_seen.is_some_and(|h| from.is_none_or(|f| f <= h)));
-    let is_contact_done = all.in_contact == all.total || wait_until <= now.mono;
-    let shown = documents.advertised.catalogue.revision;
-    let is_stale = in_force < shown;
+    let counted_from = state.members.own_status.rejoining_since;
+    let members = state.members.count_members(|m| {
+        m.last_seen.is_some_and(|last_seen| counted_from.is_none_or(|from| from <= last_seen))
+    });
+    let is_contact_done = members.in_contact == members.total || wait_until <= now.mono;
+    let advertised = documents.advertised.catalogue.revision;
+    let is_stale = in_force < advertised;
     if !is_contact_done || (is_stale && now.mono < wait_until + MAX_STALE_WAIT) {
         return;
     }
     if is_stale {
         // Refusing all callers because of a catalogue that can't be fetched would help nobody.
-        let pairs = vec![("in_force", in_force.to_string()), ("shown", shown.to_string())];
-        note(out, "catalogue_behind", pairs);
+        let fields = vec![("in_force", in_force.to_string()), ("shown", advertised.to_string())];
+        note(out, "catalogue_behind", fields);
     }
     state.documents.freshness.is_fresh = true;
     note(out, "catalogue_current", vec![("revision", in_force.to_string())]);
--- a/crates/basilbank_core/src/reduce/catalogue/peers.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/peers.rs
@@ -25,21 +25,21 @@
     heartbeat: &Heartbeat,
     out: &mut Vec<Effect>,
 ) {
-    let shown = AdvertisedRevisions::from_heartbeat(from, heartbeat);
-    state.documents.advertised.merge(&shown);
+    let advertised = AdvertisedRevisions::from_heartbeat(from, heartbeat);
+    state.documents.advertised.merge(&advertised);
     if 0 < heartbeat.confirmed {
         let age = Duration::from_millis(u64::from(heartbeat.confirmed));
         let at = now.mono.saturating_sub(age);
         state.documents.confirmed_at = state.documents.confirmed_at.max(Some(at));
     }
-    fetch_missing(state, now, &shown, out);
+    fetch_missing(state, now, &advertised, out);
     freshness::update(state, now, out);
 }
 
 /// Repeats fetches that were not answered.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let shown = state.documents.advertised;
-    fetch_missing(state, now, &shown, out);
+    let advertised = state.documents.advertised;
+    fetch_missing(state, now, &advertised, out);
 }
 
 /// Sends documents that a peer asks for.
@@ -113,9 +113,14 @@
     apply_vm_list(state, now, list, out);
 }
 
-fn fetch_missing(state: &mut State, now: Now, shown: &AdvertisedRevisions, out: &mut Vec<Effect>) {
-    fetch_vms(state, now, shown.vms, out);
-    fetch_documents(state, now, shown, out);
+fn fetch_missing(
+    state: &mut State,
+    now: Now,
+    advertised: &AdvertisedRevisions,
+    out: &mut Vec<Effect>,
+) {
+    fetch_vms(state, now, advertised.vms, out);
+    fetch_documents(state, now, advertised, out);
 }
 
 fn fetch_vms(state: &mut State, now: Now, offer: AdvertisedRevision, out: &mut Vec<Effect>) {
@@ -134,7 +139,7 @@
 fn fetch_documents(
     state: &mut State,
     now: Now,
-    shown: &AdvertisedRevisions,
+    advertised: &AdvertisedRevisions,
     out: &mut Vec<Effect>,
 ) {
     let documents = &mut state.documents;
@@ -143,7 +148,7 @@
     }
     let known = documents.store.revision;
     let in_force = state.view.catalogue.revision;
-    let (newest, accepted) = (shown.documents, shown.catalogue);
+    let (newest, accepted) = (advertised.documents, advertised.catalogue);
     let is_disputed = accepted.revision <= documents.accepted.disputed_revision;
     let is_checked =
         documents.accepted.check.is_none() && documents.accepted.checked_revision == known;
--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -193,7 +193,7 @@
     for effect in effects {
         let Effect::Engine(call) = effect else { continue };
         let request = match call {
-            EngineCall::Prefill(draft) | EngineCall::Decode { call: draft, .. } => draft.request,
+            EngineCall::Prefill(call) | EngineCall::Decode { call, .. } => call.request,
             EngineCall::Resume { request, .. } | EngineCall::Plain { request, .. } => *request,
             _ => continue,
         };
@@ -238,7 +238,7 @@
     state: &mut State,
     now: Now,
     id: RequestId,
-    waited: VoteWait,
+    vote_wait: VoteWait,
     out: &mut Vec<Effect>,
 ) {
     let Some(claim) = state.claims.own.get_mut(&id) else { return };
@@ -246,10 +246,10 @@
         return;
     }
     let key = claim.request;
-    match claim.status(waited) {
+    match claim.status(vote_wait) {
         ClaimStatus::Undecided if claim.needs_more_voters() => {
             request_votes(state, now, id, out);
-            evaluate_votes(state, now, id, waited, out);
+            evaluate_votes(state, now, id, vote_wait, out);
         }
         ClaimStatus::Undecided => {}
         ClaimStatus::Won => {
@@ -274,16 +274,16 @@
 fn give_up(state: &mut State, now: Now, id: RequestId, out: &mut Vec<Effect>) {
     let Some(claim) = state.claims.own.get(&id) else { return };
     let key = claim.request;
-    let standing = claim.status(VoteWait::TimedOut);
-    let rival = match &standing {
+    let status = claim.status(VoteWait::TimedOut);
+    let competing = match &status {
         ClaimStatus::Lost(record) => record.clone(),
         ClaimStatus::Undecided | ClaimStatus::Won => claim.competing_record(),
     };
-    if takeover::reopen_claim(state, now, id, rival.as_ref()) {
+    if takeover::reopen_claim(state, now, id, competing.as_ref()) {
         return;
     }
     publish_outcome(state, id, Outcome::NotRun);
-    match standing {
+    match status {
         ClaimStatus::Lost(record) => answer_repeat(state, now, key, record, out),
         ClaimStatus::Undecided | ClaimStatus::Won => {
             settle::refuse(state, now, key, Refusal::KeyUnclaimed, out);
@@ -312,12 +312,12 @@
         );
         return;
     };
-    let pairs = vec![
+    let fields = vec![
         ("request", request.id.to_string()),
         ("first", RequestId(record.request).to_string()),
         ("outcome", record.outcome.to_string()),
     ];
-    out.push(Effect::Progress(Progress::Note { name: "key_repeated", fields: pairs }));
+    out.push(Effect::Progress(Progress::Note { name: "key_repeated", fields }));
     let is_whole = record.outcome == 0 || record.outcome == Outcome::Done.code();
     if request.completion.is_some() && is_whole && !record.stream.is_empty() {
         admit::join_stream(state, now, key, &record, out);
--- a/crates/basilbank_core/src/reduce/claim/vote.rs
+++ b/crates/basilbank_core/src/reduce/claim/vote.rs
@@ -95,8 +95,8 @@
         return (Verdict::Abstain, None);
     }
     if !takes_over && state.local.tuning.keys <= state.claims.key_table.len() {
-        let pairs = vec![("keys", state.claims.key_table.len().to_string())];
-        out.push(Effect::Progress(Progress::Note { name: "key_table_full", fields: pairs }));
+        let fields = vec![("keys", state.claims.key_table.len().to_string())];
+        out.push(Effect::Progress(Progress::Note { name: "key_table_full", fields }));
         return (Verdict::Overflow, None);
     }
     let record = KeyRecord {
--- a/crates/basilbank_core/src/reduce/limit.rs
+++ b/crates/basilbank_core/src/reduce/limit.rs
@@ -46,22 +46,22 @@
     let can_report = can_report(state, entry);
     let Some(usage) = state.limits.usages.get_mut(&entry) else { return Ok(()) };
     let is_trusted = !usage.is_frequent(now.mono) || now.mono < usage.trusted_until;
-    let mut is_reported = usage.lease.is_none() && can_report && is_trusted;
-    if !is_reported {
+    let mut must_report = usage.lease.is_none() && can_report && is_trusted;
+    if !must_report {
         let share = usage.lease.map_or(own_share, |(share, _)| share);
         let taken = usage.take(&limits, &share, tokens, now.mono);
-        is_reported = usage.lease.is_none();
+        must_report = usage.lease.is_none();
         if let Err(refusal) = taken {
             let is_burst = refusal != Refusal::ConcurrentLimit && usage.lease.is_some();
             if !is_burst || !usage.is_ample || !can_report {
                 holder::request_more(state, now, entry, out);
                 return Err(refusal);
             }
-            is_reported = true;
+            must_report = true;
         }
     }
     usage.running += 1;
-    if is_reported {
+    if must_report {
         usage.unreported_requests += 1;
         usage.unreported_tokens += i64::from(tokens);
         return holder::report_taken(state, now, entry, out);
--- a/crates/basilbank_core/src/reduce/limit/holder.rs
+++ b/crates/basilbank_core/src/reduce/limit/holder.rs
@@ -91,14 +91,14 @@
 }
 
 fn is_due(usage: &Usage, limits: &Limits, now: Now) -> bool {
-    let is_dense = usage.is_frequent(now.mono);
+    let is_frequent = usage.is_frequent(now.mono);
     if let Some((_, until)) = usage.lease {
-        let is_used = is_dense || now.mono < usage.last_used + RECENT_USE_PERIOD;
+        let is_used = is_frequent || now.mono < usage.last_used + RECENT_USE_PERIOD;
         return is_used
             && until <= now.mono + RENEWAL_MARGIN
             && has_passed(usage.last_asked, MIN_REQUEST_INTERVAL, now);
     }
-    let is_wanted = is_dense
+    let is_wanted = is_frequent
         && now.mono < usage.last_used + RENEWAL_MARGIN
         && has_passed(usage.last_asked, MIN_REQUEST_INTERVAL, now);
     let is_running = 0 < usage.running && 0 < limits.concurrent;
--- a/crates/basilbank_core/src/reduce/limit/owner.rs
+++ b/crates/basilbank_core/src/reduce/limit/owner.rs
@@ -150,11 +150,11 @@
 /// Returns the limits multiplied by the fraction of listed members that are in contact. In a
 /// partition each side has its fraction, so both together use no more than the limits.
 fn reachable_limits(state: &State, limits: &Limits) -> Limits {
-    let census = state.members.count_members(|m| m.live);
-    if census.in_contact == census.total {
+    let members = state.members.count_members(|m| m.live);
+    if members.in_contact == members.total {
         return *limits;
     }
-    let fraction = census.in_contact as f64 / census.total.max(1) as f64;
+    let fraction = members.in_contact as f64 / members.total.max(1) as f64;
     let share = LimitShare::fraction(limits, fraction);
     let concurrent = if 0 < limits.concurrent { share.concurrent } else { 0 };
     Limits { requests: share.requests, tokens: share.tokens, concurrent, ..*limits }
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -80,8 +80,8 @@
             state.members.refresh();
         }
     }
-    for seen in &heartbeat.seen {
-        apply_record(state, now, seen, out);
+    for record in &heartbeat.seen {
+        apply_record(state, now, record, out);
     }
     let dead_after = state.local.tuning.dead_after;
     for vm in summary::apply(&mut state.members, &heartbeat.beats, now.mono, dead_after) {
@@ -126,27 +126,27 @@
 }
 
 /// Applies a peer's record of a member that the peer has been in contact with.
-fn apply_record(state: &mut State, now: Now, seen: &MemberRecord, out: &mut Vec<Effect>) {
-    let vm = VmId(seen.vm);
+fn apply_record(state: &mut State, now: Now, record: &MemberRecord, out: &mut Vec<Effect>) {
+    let vm = VmId(record.vm);
     if vm == state.local.vm {
-        check_superseded(state, seen, out);
+        check_superseded(state, record, out);
         return;
     }
     let record_sends = gossip::record_sends_per_change(&state.members);
     let Some(member) = state.members.all.get(&vm) else { return };
-    let is_new_incarnation = member.incarnation < seen.incarnation;
+    let is_new_incarnation = member.incarnation < record.incarnation;
     let is_newer =
-        seen.incarnation == member.incarnation && member.heartbeat_counter < seen.counter;
+        record.incarnation == member.incarnation && member.heartbeat_counter < record.counter;
     if is_new_incarnation || is_newer {
-        let last_seen = now.mono.saturating_sub(Duration::from_millis(u64::from(seen.age)));
-        record_contact(state, last_seen, vm, seen.incarnation, out);
+        let last_seen = now.mono.saturating_sub(Duration::from_millis(u64::from(record.age)));
+        record_contact(state, last_seen, vm, record.incarnation, out);
     }
     let Some(member) = state.members.all.get_mut(&vm) else { return };
-    if member.incarnation != seen.incarnation {
+    if member.incarnation != record.incarnation {
         return;
     }
-    member.heartbeat_counter = member.heartbeat_counter.max(seen.counter);
-    if seen.leaving && !member.announced_leaving {
+    member.heartbeat_counter = member.heartbeat_counter.max(record.counter);
+    if record.leaving && !member.announced_leaving {
         member.announced_leaving = true;
         member.record_sends = record_sends;
         state.members.refresh();
@@ -195,14 +195,14 @@
     let mut any_dead = false;
     for (vm, member) in state.members.all.iter_mut().filter(|(vm, m)| m.live && **vm != own) {
         let silence =
-            member.last_seen.map_or(Duration::MAX, |heard| now.mono.saturating_sub(heard));
+            member.last_seen.map_or(Duration::MAX, |last_seen| now.mono.saturating_sub(last_seen));
         if silence <= timeout {
             continue;
         }
         member.live = false;
         any_dead = true;
-        let pairs = vec![("vm", vm.to_string()), ("silent_ms", silence.as_millis().to_string())];
-        note(out, "member_dead", pairs);
+        let fields = vec![("vm", vm.to_string()), ("silent_ms", silence.as_millis().to_string())];
+        note(out, "member_dead", fields);
     }
     if any_dead {
         state.members.refresh();
@@ -222,24 +222,24 @@
 fn update_may_decide(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let could_decide = state.members.may_decide();
     if let Some(from) = state.members.own_status.rejoining_since {
-        let census =
-            state.members.count_members(|m| m.last_seen.is_some_and(|heard| from <= heard));
-        if !state.members.own_status.has_list || census.is_minority() {
+        let members =
+            state.members.count_members(|m| m.last_seen.is_some_and(|last_seen| from <= last_seen));
+        if !state.members.own_status.has_list || members.is_minority() {
             return;
         }
         state.members.own_status.rejoining_since = None;
     }
-    let census = state.members.count_members(|m| m.live);
-    let is_isolated = census.is_minority();
+    let members = state.members.count_members(|m| m.live);
+    let is_isolated = members.is_minority();
     if is_isolated != state.members.own_status.is_isolated {
         state.members.own_status.is_isolated = is_isolated;
-        let pairs =
-            vec![("live", census.in_contact.to_string()), ("listed", census.total.to_string())];
-        note(out, if is_isolated { "isolated" } else { "rejoined" }, pairs);
+        let fields =
+            vec![("live", members.in_contact.to_string()), ("listed", members.total.to_string())];
+        note(out, if is_isolated { "isolated" } else { "rejoined" }, fields);
     }
     if !could_decide && state.members.may_decide() {
         state.members.own_status.deciding_since = now.mono;
-        note(out, "recovered", vec![("live", census.in_contact.to_string())]);
+        note(out, "recovered", vec![("live", members.in_contact.to_string())]);
         slots::on_members_changed(state, now, out);
     }
 }
@@ -247,12 +247,12 @@
 /// Reports that peers know a higher incarnation of this VM: another process has its name, or the
 /// VM's clock went back across a restart. Peers drop all messages of this daemon; only an operator
 /// can repair it.
-fn check_superseded(state: &State, seen: &MemberRecord, out: &mut Vec<Effect>) {
-    if state.local.incarnation < seen.incarnation {
-        note(out, "incarnation_superseded", vec![("incarnation", seen.incarnation.to_string())]);
+fn check_superseded(state: &State, record: &MemberRecord, out: &mut Vec<Effect>) {
+    if state.local.incarnation < record.incarnation {
+        note(out, "incarnation_superseded", vec![("incarnation", record.incarnation.to_string())]);
     }
 }
 
-fn note(out: &mut Vec<Effect>, name: &'static str, pairs: Vec<(&'static str, String)>) {
-    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
+fn note(out: &mut Vec<Effect>, name: &'static str, fields: Vec<(&'static str, String)>) {
+    out.push(Effect::Progress(Progress::Note { name, fields }));
 }
--- a/crates/basilbank_core/src/reduce/member/summary.rs
+++ b/crates/basilbank_core/src/reduce/member/summary.rs
@@ -32,7 +32,8 @@
         if !member.live || member.incarnation == 0 || !is_prefix_unique(members, id_prefix(*vm)) {
             continue;
         }
-        let silence = member.last_seen.map_or(Duration::MAX, |heard| mono.saturating_sub(heard));
+        let silence =
+            member.last_seen.map_or(Duration::MAX, |last_seen| mono.saturating_sub(last_seen));
         let Some(age) = encode_age(silence, dead_after) else { continue };
         let counter = member.heartbeat_counter % COUNTER_MODULUS;
         let low = (u64::from(incarnation_tag(member.incarnation)) << COUNTER_BITS | counter) as u16;
--- a/crates/basilbank_core/src/reduce/order.rs
+++ b/crates/basilbank_core/src/reduce/order.rs
@@ -139,7 +139,7 @@
         return;
     };
     if serving.is_on_target(&target) {
-        if state.orders.rollouts.remove(&endpoint.id).is_some_and(|roll| roll.is_closed()) {
+        if state.orders.rollouts.remove(&endpoint.id).is_some_and(|rollout| rollout.is_closed()) {
             note("order_done", endpoint.id, &target.version, out);
         }
         return;
@@ -148,11 +148,12 @@
     if serving.unresponsive || !send::may_order(state, now, endpoint, &serving) {
         return;
     }
-    let rolls = &mut state.orders.rollouts;
-    let roll = rolls.entry(endpoint.id).or_insert_with(|| Rollout::new(target.clone(), now.mono));
-    let is_retargeted = roll.target != target;
-    roll.target = target;
-    match roll.stage {
+    let rollouts = &mut state.orders.rollouts;
+    let rollout =
+        rollouts.entry(endpoint.id).or_insert_with(|| Rollout::new(target.clone(), now.mono));
+    let is_retargeted = rollout.target != target;
+    rollout.target = target;
+    match rollout.stage {
         RolloutStage::Ordered { .. } if is_retargeted => send::issue(state, now, endpoint, 0, out),
         RolloutStage::Ordered { sent, resend_at: due } if due <= now.mono => {
             send::reissue(state, now, endpoint, &serving, sent, out);
@@ -177,9 +178,9 @@
     if !rollout::may_drain(state, now, endpoint, serving, to_read) {
         return;
     }
-    let Some(roll) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
-    roll.enter_stage(RolloutStage::Draining { empty_since: None }, now.mono);
-    note("order_drain", endpoint.id, &roll.target.version, out);
+    let Some(rollout) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
+    rollout.enter_stage(RolloutStage::Draining { empty_since: None }, now.mono);
+    note("order_drain", endpoint.id, &rollout.target.version, out);
 }
 
 /// Orders an endpoint once it is empty. Gives it new work again if it is no longer its turn, for
@@ -195,19 +196,19 @@
 ) {
     let may_drain = rollout::may_drain(state, now, endpoint, serving, to_read);
     let is_empty = is_empty(state, endpoint.id, serving);
-    let Some(roll) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
+    let Some(rollout) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
     if !may_drain {
-        roll.enter_stage(RolloutStage::Waiting, now.mono);
+        rollout.enter_stage(RolloutStage::Waiting, now.mono);
         return;
     }
-    let is_fresh = roll.stage_since <= serving.measured_at;
+    let is_fresh = rollout.stage_since <= serving.measured_at;
     let empty = (is_empty && is_fresh).then(|| empty.unwrap_or(serving.measured_at));
-    roll.stage = RolloutStage::Draining { empty_since: empty };
+    rollout.stage = RolloutStage::Draining { empty_since: empty };
     if empty.is_some_and(|since| since + MIN_EMPTY_TIME <= serving.measured_at) {
         send::issue(state, now, endpoint, 0, out);
-    } else if roll.stage_since + SLOW_DRAIN_INTERVAL <= now.mono {
-        roll.stage_since = now.mono;
-        note("order_drain_slow", endpoint.id, &roll.target.version, out);
+    } else if rollout.stage_since + SLOW_DRAIN_INTERVAL <= now.mono {
+        rollout.stage_since = now.mono;
+        note("order_drain_slow", endpoint.id, &rollout.target.version, out);
     }
 }
 
@@ -224,8 +225,8 @@
 }
 
 fn note(name: &'static str, endpoint: EndpointId, version: &str, out: &mut Vec<Effect>) {
-    let pairs = vec![("endpoint", endpoint.to_string()), ("version", version.to_owned())];
-    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
+    let fields = vec![("endpoint", endpoint.to_string()), ("version", version.to_owned())];
+    out.push(Effect::Progress(Progress::Note { name, fields }));
 }
 
 fn read_load(endpoint: EndpointId) -> Effect {
--- a/crates/basilbank_core/src/reduce/order/send.rs
+++ b/crates/basilbank_core/src/reduce/order/send.rs
@@ -54,8 +54,8 @@
     if let Some(serving) = state.orders.reports.get_mut(&endpoint) {
         serving.fence = serving.fence.max(fence);
     }
-    if let Some(roll) = state.orders.rollouts.remove(&endpoint) {
-        note("order_fenced", endpoint, &roll.target.version, out);
+    if let Some(rollout) = state.orders.rollouts.remove(&endpoint) {
+        note("order_fenced", endpoint, &rollout.target.version, out);
     }
 }
 
@@ -64,10 +64,10 @@
     let fence = fencing_number(state);
     let delay =
         INITIAL_RESEND_DELAY.saturating_mul(2u32.saturating_pow(sent)).min(MAX_RESEND_DELAY);
-    let Some(roll) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
+    let Some(rollout) = state.orders.rollouts.get_mut(&endpoint.id) else { return };
     let due = now.mono + delay;
-    roll.enter_stage(RolloutStage::Ordered { sent: sent + 1, resend_at: due }, now.mono);
-    let target = &roll.target;
+    rollout.enter_stage(RolloutStage::Ordered { sent: sent + 1, resend_at: due }, now.mono);
+    let target = &rollout.target;
     let name = if sent == 0 { "order_sent" } else { "order_sent_again" };
     note(name, endpoint.id, &target.version, out);
     out.push(Effect::Engine(EngineCall::Order {
@@ -91,14 +91,14 @@
     out: &mut Vec<Effect>,
 ) {
     let timeout = max_load_time(state, endpoint).saturating_mul(2u32.saturating_pow(sent - 1));
-    let Some(roll) = state.orders.rollouts.get(&endpoint.id) else { return };
+    let Some(rollout) = state.orders.rollouts.get(&endpoint.id) else { return };
     if serving.version.is_empty() {
-        if now.mono < roll.stage_since + timeout {
+        if now.mono < rollout.stage_since + timeout {
             return;
         }
-        note("order_load_stuck", endpoint.id, &roll.target.version, out);
+        note("order_load_stuck", endpoint.id, &rollout.target.version, out);
     } else if !is_empty(state, endpoint.id, serving)
-        || serving.measured_at < roll.stage_since + MIN_EMPTY_TIME
+        || serving.measured_at < rollout.stage_since + MIN_EMPTY_TIME
     {
         return;
     }
--- a/crates/basilbank_core/src/reduce/reap.rs
+++ b/crates/basilbank_core/src/reduce/reap.rs
@@ -127,13 +127,13 @@
         CancelCause::Orphaned => "reaped_orphaned",
         CancelCause::Unread => "reaped_unread",
     };
-    let pairs = vec![
+    let fields = vec![
         ("endpoint", endpoint.to_string()),
         ("stream", info.stream.clone()),
         ("owner", info.vm.to_string()),
         ("idle_ms", info.idle.as_millis().to_string()),
     ];
-    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
+    out.push(Effect::Progress(Progress::Note { name, fields }));
     out.push(Effect::Engine(EngineCall::Reap {
         endpoint,
         stream: info.stream.clone(),
--- a/crates/basilbank_core/src/reduce/slots.rs
+++ b/crates/basilbank_core/src/reduce/slots.rs
@@ -234,9 +234,9 @@
     if ledger.rebuild.as_ref().is_some_and(|l| l.deadline <= now.mono) {
         ledger.rebuild = None;
     }
-    if let Some(learning) = &ledger.rebuild {
+    if let Some(rebuild) = &ledger.rebuild {
         // The request or its answer may be lost or on its way; asking again does no harm.
-        request_holds(endpoint, &learning.missing, out);
+        request_holds(endpoint, &rebuild.missing, out);
     }
     let expired = ledger.leases.iter().filter(|(_, lease)| lease.expires_at <= now.mono);
     let expired: Vec<_> = expired.map(|(key, _)| *key).collect();
@@ -244,8 +244,9 @@
         ledger.end_lease(*key, now.mono);
     }
     if !expired.is_empty() {
-        let pairs = vec![("endpoint", endpoint.to_string()), ("leases", expired.len().to_string())];
-        out.push(Effect::Progress(Progress::Note { name: "slot_leases_expired", fields: pairs }));
+        let fields =
+            vec![("endpoint", endpoint.to_string()), ("leases", expired.len().to_string())];
+        out.push(Effect::Progress(Progress::Note { name: "slot_leases_expired", fields }));
     }
     let is_ended = |w: &Waiter| denial.is_some() || w.deadline <= now.mono;
     let ended = ledger.waiting.remove_matching(|_, waiter, _, _| is_ended(waiter));
--- a/crates/basilbank_core/src/reduce/slots/takeover.rs
+++ b/crates/basilbank_core/src/reduce/slots/takeover.rs
@@ -62,8 +62,8 @@
     // the lists would refuse lookups for that long, only to save a few of them a second call.
     if known.role != Role::Plain {
         out.push(Effect::Engine(EngineCall::ReadLoad { endpoint }));
-        let until = now.mono + REBUILD_TIMEOUT;
-        ledger.rebuild = Some(Rebuild { missing, needs_report: true, deadline: until });
+        let deadline = now.mono + REBUILD_TIMEOUT;
+        ledger.rebuild = Some(Rebuild { missing, needs_report: true, deadline });
     }
     state.slots.ledgers.insert(endpoint, ledger);
     let held = reserve::holds_at(state, endpoint);
@@ -116,8 +116,8 @@
     for key in ended {
         ledger.end_lease(key, now.mono);
     }
-    if let Some(learning) = &mut ledger.rebuild {
-        learning.missing.remove(&from);
+    if let Some(rebuild) = &mut ledger.rebuild {
+        rebuild.missing.remove(&from);
     }
     ledger.finish_rebuild();
     grant_waiting(state, now, endpoint, out);
@@ -151,8 +151,8 @@
     }
     let excess = ledger.leases.len().saturating_sub(ledger.slots as usize);
     if before < ledger.leases.len() && 0 < excess {
-        let pairs = vec![("endpoint", endpoint.to_string()), ("over", excess.to_string())];
-        out.push(Effect::Progress(Progress::Note { name: "slot_over_commit", fields: pairs }));
+        let fields = vec![("endpoint", endpoint.to_string()), ("over", excess.to_string())];
+        out.push(Effect::Progress(Progress::Note { name: "slot_over_commit", fields }));
     }
 }
 
