--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -8,7 +8,7 @@
 
 use basilbank_wire::{Body, Claim, KeyRecord, Settle, Verdict, Vote};
 
-pub use self::vote::{on_claim, on_settle, update_tenure};
+pub use self::vote::{on_claim, on_settle, update_voter_history};
 use crate::{
     effect::{Effect, EngineCall, Progress},
     ids::{RequestId, RequestKey, VmId},
--- a/crates/basilbank_core/src/reduce/claim/vote.rs
+++ b/crates/basilbank_core/src/reduce/claim/vote.rs
@@ -34,7 +34,7 @@
 }
 
 /// Updates for which keys this daemon is a voter, after the platform's VM list may have changed.
-pub fn update_tenure(state: &mut State, now: Now) {
+pub fn update_voter_history(state: &mut State, now: Now) {
     let window = state.local.tuning.key_window;
     state.claims.voter_history.update(now, window, &state.members);
 }
--- a/crates/basilbank_core/src/reduce/limit.rs
+++ b/crates/basilbank_core/src/reduce/limit.rs
@@ -194,8 +194,8 @@
 
 /// Returns whether the entry has an owner that would refuse if the limit were used up.
 fn can_report(state: &State, entry: EntryId) -> bool {
-    let presence = &state.members.own_status;
-    presence.has_list
-        && presence.rejoining_since.is_none()
+    let own_status = &state.members.own_status;
+    own_status.has_list
+        && own_status.rejoining_since.is_none()
         && state.members.owner(entry.0).is_some()
 }
--- a/crates/basilbank_core/src/reduce/limit/owner.rs
+++ b/crates/basilbank_core/src/reduce/limit/owner.rs
@@ -42,8 +42,8 @@
     ask: &AskLimit,
 ) -> Option<LimitLease> {
     let entry = EntryId(ask.entry);
-    let presence = &state.members.own_status;
-    if !presence.has_list || presence.rejoining_since.is_some() {
+    let own_status = &state.members.own_status;
+    if !own_status.has_list || own_status.rejoining_since.is_some() {
         return None;
     }
     let full_limits = limits(state, entry)?;
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -108,7 +108,7 @@
 
 /// Handles a change of the VM list.
 pub fn on_vm_list(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    claim::update_tenure(state, now);
+    claim::update_voter_history(state, now);
     update_may_decide(state, now, out);
     slots::on_members_changed(state, now, out);
     push(state, now, out);
