--- a/crates/basilbank_core/src/reduce/limit/owner.rs
+++ b/crates/basilbank_core/src/reduce/limit/owner.rs
@@ -30,8 +30,8 @@
 const RATION_TTL: Duration = Duration::from_secs(10);
 /// Duration of a ration for a daemon that has reported no demand.
 const UNKNOWN_DEMAND_TTL: Duration = Duration::from_secs(3);
-/// Duration of a ration when requests in progress are short, because the free ones soon belong to
-/// another daemon.
+/// Duration of a ration when the limit on requests in progress is nearly used up, because what the
+/// ration allows is soon granted to another daemon.
 const CONCURRENCY_TTL: Duration = Duration::from_secs(1);
 
 /// Handles a daemon's report. Returns the lease or refusal that answers it, if an answer is needed.
