--- a/crates/basilbank_wire/src/direct.rs
+++ b/crates/basilbank_wire/src/direct.rs
@@ -1,69 +1,70 @@
-//! Words between two daemons that answer each other: how new a configuration is, and what of a team's quota
+//! Direct messages between two daemons: how new a configuration is, and how much of a team's quota
 //! is used.
 //!
-//! They travel in datagrams of their own, without the sender's load and without a sequence.
+//! They travel in datagrams of their own, without the sender's load and without a sequence number.
 
-/// A question how new the receiver's configuration is, or the answer to one.
+/// A question about how new the receiver's configuration is, or the answer to one.
 ///
-/// The asker counts from the moment at which it asked, so that no clocks of two daemons are compared, and an
-/// answer that was long on its way, or lay in the socket of a process that stood still, proves no more than it
-/// did when it was given.
+/// The asker measures from the moment at which it asked. So the clocks of two daemons are never
+/// compared, and an answer that was delayed on the network, or in the socket of a process that was
+/// suspended, confirms nothing newer than it did when it was sent.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct ConfigurationAge {
-    /// Names the question; the answer carries it back.
+    /// Identifies the question; the answer repeats it.
     #[prost(uint64, tag = "1")]
     pub asked: u64,
-    /// In an answer: how long before it the configuration was the newest for certain, in milliseconds.
+    /// In an answer: milliseconds since the answering daemon's configuration was confirmed to be
+    /// the newest.
     #[prost(uint32, optional, tag = "2")]
     pub age: Option<u32>,
-    /// In an answer: its version.
+    /// In an answer: the version of that configuration.
     #[prost(uint64, tag = "3")]
     pub version: u64,
 }
 
-/// What the sender's callers have taken of a team's quota, told to the daemon that counts it for all.
+/// What the sender's callers have taken of a team's quota, reported to the quota owner.
 ///
-/// The sums are told again until they are acknowledged, and a repeated word counts nothing twice.
+/// The sums are repeated until they are acknowledged. A repeated message counts nothing twice.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct QuotaUse {
     /// Hash of the team's name.
     #[prost(fixed64, tag = "1")]
     pub team: u64,
-    /// Rises when the sender begins its sum anew.
+    /// Increases when the sender starts a new sum.
     #[prost(uint32, tag = "2")]
     pub epoch: u32,
-    /// The sum of what was taken, in the quota's unit, less what was given back.
+    /// Sum of what was taken, in the quota's unit, less what was returned.
     #[prost(sint64, tag = "3")]
     pub taken: i64,
-    /// The part of it that the receiver has acknowledged.
+    /// The part of the sum that the receiver has acknowledged.
     #[prost(sint64, tag = "4")]
     pub acknowledged: i64,
-    /// A request that waits for the answer before it is taken.
+    /// A request that waits for the owner's answer.
     #[prost(message, optional, tag = "5")]
     pub ask: Option<QuotaRequest>,
 }
 
-/// A request that asks for its part of a quota.
+/// A request that asks the quota owner for its part of a quota.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct QuotaRequest {
-    /// Names it between the two.
+    /// Identifies the request between the two daemons.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// What it takes.
+    /// The amount that it takes, in the quota's unit.
     #[prost(uint32, tag = "2")]
     pub amount: u32,
 }
 
-/// What the daemon that counts a team's quota says of it.
+/// The state of a team's quota, as its owner reports it.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct QuotaState {
     /// Hash of the team's name.
     #[prost(fixed64, tag = "1")]
     pub team: u64,
-    /// The sender's epoch and sum that are acknowledged; none in a word to all.
+    /// The receiver's epoch and sum that are acknowledged; none in a message to all daemons.
     #[prost(message, optional, tag = "2")]
     pub counted: Option<QuotaCounted>,
-    /// For so many milliseconds requests have to ask before they are taken; 0 if they needn't.
+    /// Milliseconds for which requests have to ask before they are let through; 0 if they needn't.
     #[prost(uint32, tag = "3")]
     pub ask_for: u32,
     /// The answer to a request that asked.
@@ -71,7 +72,7 @@
     pub answer: Option<QuotaAnswer>,
 }
 
-/// A sum that has been counted.
+/// A sum that the quota owner has counted.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct QuotaCounted {
     /// The sum's epoch.
@@ -82,16 +83,16 @@
     pub taken: i64,
 }
 
-/// The answer to a request that asked for its part of a quota.
+/// The quota owner's answer to a request.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct QuotaAnswer {
-    /// The request.
+    /// The ticket of the request.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// It may be taken, and is counted.
+    /// Whether the request is granted; if so, its amount is counted.
     #[prost(bool, tag = "2")]
     pub granted: bool,
-    /// If not: milliseconds until there is room for it.
+    /// If it isn't granted: milliseconds until the quota has room for it.
     #[prost(uint32, tag = "3")]
     pub wait: u32,
 }
--- a/crates/basilbank_wire/src/load.rs
+++ b/crates/basilbank_wire/src/load.rs
@@ -1,106 +1,112 @@
-//! The datagram by which daemons that forward calls share what they have at endpoints.
+//! The gossip datagram by which daemons that forward calls share their load at endpoints.
 
 use crate::direct::{ConfigurationAge, QuotaState, QuotaUse};
 
-/// All that one daemon has at endpoints, and some peers that it knows.
+/// The load that one daemon has at endpoints, and some of the peers that it knows.
 ///
-/// It is the whole state each time, so that a lost datagram is mended by the next one.
+/// Each datagram carries the whole load, so that the next datagram makes up for a lost one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoadGossip {
-    /// The sender's incarnation: its process's start, milliseconds since the Unix epoch.
+    /// The sender's incarnation: the start time of its process, in milliseconds since the Unix
+    /// epoch.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// Rises with each datagram of one incarnation; older ones are dropped.
+    /// Increases with each datagram of one incarnation; receivers drop older datagrams. Datagrams
+    /// that carry only direct messages have no sequence number.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// The sender is shutting down: it takes no new work, and is no longer a peer once it has nothing at
-    /// endpoints.
+    /// Whether the sender is shutting down. It then takes no new work, and stops being a peer once
+    /// it has no calls at endpoints.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
-    /// Endpoints at which the sender has calls: hashes of their instances and starts, so that what it
-    /// has at a former start isn't taken for load of the new one. What it has there stands at the same
-    /// places of the next two lists; so an entry takes seven bytes instead of eighteen.
+    /// Endpoints at which the sender has calls, as hashes of instance and incarnation, so that load
+    /// at a former incarnation isn't counted at the new one. `tokens`, `calls` and `left` hold the
+    /// load at the same indices: parallel lists take seven bytes for an endpoint instead of
+    /// eighteen.
     #[prost(fixed32, repeated, tag = "8")]
     pub endpoints: Vec<u32>,
-    /// Tokens there.
+    /// Tokens of the sender's calls at each of `endpoints`.
     #[prost(uint32, repeated, tag = "9")]
     pub tokens: Vec<u32>,
-    /// Calls there.
+    /// Number of the sender's calls at each of `endpoints`.
     #[prost(uint32, repeated, tag = "10")]
     pub calls: Vec<u32>,
-    /// Those of the tokens there that are still to be generated.
+    /// Number of tokens at each of `endpoints` that are still to be generated.
     #[prost(uint32, repeated, tag = "13")]
     pub left: Vec<u32>,
-    /// How fast the sender's drafts were generated.
+    /// Generation speed of the sender's completions, by service.
     #[prost(message, repeated, tag = "14")]
     pub paces: Vec<ServiceGenerationStats>,
-    /// The first draft of each service that waits for room.
+    /// The first completion of each service that waits for capacity.
     #[prost(message, repeated, tag = "15")]
     pub waiting: Vec<WaitingCompletion>,
-    /// Some peers that the sender knows.
+    /// Some of the peers that the sender knows.
     #[prost(message, repeated, tag = "5")]
     pub peers: Vec<PeerAddress>,
     /// Endpoints that the sender knows to refuse work.
     #[prost(message, repeated, tag = "6")]
     pub shunned: Vec<AvoidedEndpoint>,
-    /// The store's revision at which the last change of an endpoint's entry was seen, other than its
-    /// heartbeat; none when it was told before. Tags 7, 11 and 12 were revisions without an era, and are
-    /// not used again.
+    /// The store's revision at which the sender knows the latest change of an endpoint record,
+    /// heartbeats excepted; none when an earlier datagram reported it. Tags 7, 11 and 12 were
+    /// revisions without an era and are not reused.
     #[prost(message, optional, tag = "16")]
     pub endpoints_news: Option<StoreRevision>,
-    /// The same of the configuration.
+    /// The store's revision at which the sender knows the latest change of the configuration; none
+    /// when an earlier datagram reported it.
     #[prost(message, optional, tag = "17")]
     pub routes_news: Option<StoreRevision>,
-    /// The version of the configuration that the sender has in force; 0 when it was told before.
+    /// The version of the configuration that the sender has in force; 0 when an earlier datagram
+    /// reported it.
     #[prost(uint64, tag = "18")]
     pub version: u64,
-    /// The sender watches the store for others, and the store answers it.
+    /// Whether the sender watches the store for other daemons and the store answers it.
     #[prost(bool, tag = "19")]
     pub watching: bool,
-    /// Calls that were running at endpoints when these crashed, as the sender has seen it lately.
+    /// Calls that were running at endpoints when these crashed, as the sender has recently seen.
     #[prost(message, repeated, tag = "20")]
     pub crashes: Vec<CrashReport>,
-    /// Digests of calls that have run to their end lately, though they were in such reports.
+    /// Digests of calls that were in such reports but have recently run to completion.
     #[prost(fixed64, repeated, tag = "21")]
     pub cleared: Vec<u64>,
     /// Calls that are in quarantine.
     #[prost(message, repeated, tag = "22")]
     pub quarantined: Vec<QuarantinedCall>,
-    /// What endpoints have lately said to the sender of the calls that they take.
+    /// Call limits that endpoints have recently stated to the sender.
     #[prost(message, repeated, tag = "23")]
     pub limits: Vec<CallLimitReport>,
-    /// Words about single calls to endpoints with a limit. A datagram with such words has no sequence, and
-    /// tells nothing else.
+    /// Direct messages about permits for single calls to endpoints with a call limit. A datagram
+    /// with direct messages has no sequence number and carries nothing else.
     #[prost(message, repeated, tag = "24")]
     pub permits: Vec<Permit>,
-    /// Questions and answers about the configuration's age; in such a datagram, too.
+    /// Direct messages: questions and answers about the age of the configuration.
     #[prost(message, repeated, tag = "25")]
     pub ages: Vec<ConfigurationAge>,
-    /// What was taken of quotas; in such a datagram, too.
+    /// Direct messages: what the sender's callers have taken of quotas.
     #[prost(message, repeated, tag = "26")]
     pub quota_uses: Vec<QuotaUse>,
-    /// What is said of quotas; in such a datagram, too.
+    /// Direct messages: the state of quotas that the sender owns.
     #[prost(message, repeated, tag = "27")]
     pub quota_states: Vec<QuotaState>,
-    /// The most daemons that the sender has known at once, less those that have left; 0 when it was told
-    /// before.
+    /// Maximum number of daemons that the sender has known at once, less those that have left; 0
+    /// when an earlier datagram reported it.
     #[prost(uint32, tag = "28")]
     pub fleet: u32,
 }
 
-/// A moment in the platform's store's history.
+/// A point in the history of the platform's store.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct StoreRevision {
-    /// How often the store has come back from a copy; its numbers are given out again then.
+    /// Number of times that the store has been restored from a copy. A restored store gives out the
+    /// numbers since the copy a second time.
     #[prost(uint64, tag = "1")]
     pub era: u64,
-    /// Its counter of changes.
+    /// The store's change counter.
     #[prost(uint64, tag = "2")]
     pub number: u64,
 }
 
 impl LoadGossip {
-    /// With what the sender has at endpoints.
+    /// Adds the sender's load at endpoints.
     #[must_use]
     pub fn with_loads(mut self, loads: impl IntoIterator<Item = EndpointLoad>) -> LoadGossip {
         for load in loads {
@@ -112,7 +118,7 @@
         self
     }
 
-    /// What the sender has at endpoints.
+    /// Returns the sender's load at endpoints.
     pub fn loads(&self) -> impl Iterator<Item = EndpointLoad> {
         let left = self.left.iter().copied().chain(std::iter::repeat(0));
         let counts = self.tokens.iter().zip(&self.calls).zip(left);
@@ -125,107 +131,110 @@
         })
     }
 
-    /// Bytes that it takes on the wire, with the headers of IPv4 and UDP.
+    /// Returns the number of bytes on the wire, including the IPv4 and UDP headers.
     #[must_use]
     pub fn wire_bytes(&self) -> usize {
         prost::Message::encoded_len(self) + HEADER_BYTES
     }
 }
 
-/// Bytes of an IPv4 and a UDP header.
+/// Size of an IPv4 header and a UDP header.
 const HEADER_BYTES: usize = 28;
 
-/// An endpoint that refuses work for some time: its stage is changing, or it loses KV caches.
+/// An endpoint that refuses work for some time, because its stage is changing or it loses KV
+/// caches.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct AvoidedEndpoint {
-    /// Hash of the endpoint's instance and start.
+    /// Hash of the endpoint's instance and incarnation.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
-    /// For how much longer, in milliseconds.
+    /// Milliseconds for which it continues to refuse work.
     #[prost(uint32, tag = "2")]
     pub left: u32,
 }
 
-/// A call was running at an endpoint when it crashed.
+/// Reports that a call was running at an endpoint when the endpoint crashed.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct CrashReport {
-    /// Hash of the endpoint's instance and start.
+    /// Hash of the endpoint's instance and incarnation.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
     /// The call's digest.
     #[prost(fixed64, tag = "2")]
     pub digest: u64,
-    /// How long it had been there, in milliseconds.
+    /// Milliseconds for which the call had been running there.
     #[prost(uint32, tag = "3")]
     pub ran: u32,
 }
 
-/// A call that is not sent to endpoints.
+/// A call in quarantine, which is not sent to endpoints.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct QuarantinedCall {
-    /// Its digest.
+    /// The call's digest.
     #[prost(fixed64, tag = "1")]
     pub digest: u64,
-    /// For how much longer, in seconds.
+    /// Seconds for which the call stays in quarantine.
     #[prost(uint32, tag = "2")]
     pub left: u32,
 }
 
-/// What an endpoint has said of the calls that it takes.
+/// The limit that an endpoint has stated for the calls that it takes.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct CallLimitReport {
-    /// Hash of the endpoint's instance and start.
+    /// Hash of the endpoint's instance and incarnation.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
-    /// Calls a second from all daemons; none when it takes as many as come.
+    /// Calls per second from all daemons together; none when the endpoint has no limit.
     #[prost(double, optional, tag = "2")]
     pub rate: Option<f64>,
-    /// How long ago it said so, in milliseconds.
+    /// Milliseconds since the endpoint stated it.
     #[prost(uint32, tag = "3")]
     pub ago: u32,
 }
 
-/// A word about calls to an endpoint with a limit, between a daemon and the one that gives out permits.
+/// A message about calls to an endpoint with a call limit, between a daemon and the permit issuer.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Permit {
-    /// Hash of the endpoint's instance and start.
+    /// Hash of the endpoint's instance and incarnation.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
-    /// What the word is.
+    /// The kind of message.
     #[prost(enumeration = "PermitKind", tag = "2")]
     pub word: i32,
-    /// Milliseconds: how long the sender bears to wait, or how long the receiver will.
+    /// Milliseconds. In a request: the maximum time that the sender waits for a permit. In an
+    /// answer: the time that the receiver has to wait.
     #[prost(uint32, tag = "3")]
     pub wait: u32,
 }
 
-/// What is said of a permit.
+/// The kind of a [`Permit`] message.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, prost::Enumeration)]
 pub enum PermitKind {
     /// Unknown.
     Unspecified = 0,
-    /// The sender asks for one.
+    /// The sender requests a permit.
     Ask = 1,
-    /// How long the receiver waits for one. If that is longer than it bears, it doesn't get it.
+    /// The time that the receiver waits for a permit. If it exceeds the receiver's maximum wait,
+    /// the receiver doesn't get one.
     Wait = 2,
     /// The receiver may send one call.
     Grant = 3,
 }
 
-/// What a daemon has at one endpoint.
+/// The load that one daemon has at one endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct EndpointLoad {
-    /// Hash of the endpoint's instance and start.
+    /// Hash of the endpoint's instance and incarnation.
     pub endpoint: u32,
-    /// Tokens: to be read at a prefill endpoint, in memory at a decode endpoint.
+    /// Tokens: those to be read at a prefill endpoint, those in memory at a decode endpoint.
     pub tokens: u32,
     /// Calls in progress.
     pub calls: u32,
-    /// Those of the tokens that are still to be generated.
+    /// Number of the tokens that are still to be generated.
     pub tokens_left: u32,
 }
 
-/// A draft that waits for room.
+/// A completion that waits for capacity.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct WaitingCompletion {
     /// Hash of the service's name.
@@ -236,28 +245,30 @@
     pub due: i32,
 }
 
-/// How fast drafts of a service were generated: tokens, and the seconds that they took. Both count
-/// newer drafts more, so they also say how much the sender's word weighs.
+/// Generation speed of a service's completions, and the error of their estimated lengths.
+///
+/// All sums weight newer completions more, so their size also says how much weight the sender's
+/// measurement has beside those of others.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct ServiceGenerationStats {
     /// Hash of the service's name.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// Tokens.
+    /// Generated tokens, by the callers' estimates.
     #[prost(float, tag = "2")]
     pub tokens: f32,
-    /// Seconds.
+    /// Seconds that their generation took.
     #[prost(float, tag = "3")]
     pub seconds: f32,
-    /// Squares of the estimates that could be compared with what was generated.
+    /// Sum of the squared estimates that could be compared with the generated length.
     #[prost(float, tag = "4")]
     pub squares: f32,
-    /// Squares of what these were wrong by.
+    /// Sum of the squared errors of these estimates.
     #[prost(float, tag = "5")]
     pub errors: f32,
 }
 
-/// Where a daemon listens for its peers.
+/// The address at which a daemon listens for its peers.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct PeerAddress {
     /// The IPv4 address.
