--- a/crates/basilbank_forward/src/endpoint.rs
+++ b/crates/basilbank_forward/src/endpoint.rs
@@ -1,23 +1,25 @@
-//! Endpoints as they are discovered. An endpoint is one start of a server, never an address.
+//! Endpoints as they are discovered. An endpoint is one incarnation of a server process, never an
+//! address.
 
 use std::net::SocketAddr;
 
 slotmap::new_key_type! {
-    /// One endpoint. Dead keys stay dead: an address that is used again belongs to another key.
+    /// Identifies one endpoint. Keys are never reused: when an address is used again, the endpoint
+    /// there has another key.
     pub struct EndpointKey;
 }
 
-/// What an endpoint does for drafts.
+/// The work that an endpoint does for completions.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Stage {
-    /// It reads prompts.
+    /// The endpoint reads prompts.
     Prefill,
-    /// It generates tokens.
+    /// The endpoint generates tokens.
     Decode,
 }
 
 impl Stage {
-    /// The stable name, for logs.
+    /// Returns the stable name, for logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -27,47 +29,50 @@
     }
 }
 
-/// One entry of the list of endpoints.
+/// One endpoint record of the store's list.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct EndpointInfo {
-    /// The instance's id. It may start again under it.
+    /// The instance's id. An instance may restart under the same id.
     pub instance: String,
-    /// Its start, milliseconds since the Unix epoch, if it says so.
+    /// Start time of this incarnation, in milliseconds since the Unix epoch; `None` if the record
+    /// doesn't state it.
     pub start_time: Option<u64>,
-    /// The service that it serves.
+    /// The service that the endpoint serves.
     pub service: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// It is leaving: no new work.
+    /// Whether it is shutting down and takes no new work.
     pub draining: bool,
     /// Its stage; `None` for plain services.
     pub stage: Option<Stage>,
 }
 
-/// What an entry says of a known start of its instance.
+/// How the incarnation in a record relates to the known incarnation of the same instance.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StartOrder {
-    /// It is of this start.
+    /// The record is of the known incarnation.
     Same,
-    /// It is of a start before it.
+    /// The record is of an earlier incarnation.
     Earlier,
-    /// It is of a later start.
+    /// The record is of a later incarnation.
     Later,
-    /// It is of another start, and does not show which came first.
+    /// The record is of another incarnation, and doesn't show which one started first.
     Different,
 }
 
 impl EndpointInfo {
-    /// What the entry `told` says of this start.
+    /// Compares the incarnation in `record` with this one.
     ///
-    /// A start has one service for its whole life, and says its time in all its entries or in none. So
-    /// an entry that begins to say it is another start's: taking it for the same one would keep holds
-    /// that may be another's by now, while the reverse mistake costs some prompts, once. An entry that
-    /// leaves it out says nothing about the start: it is the known one, unless the address differs.
+    /// An incarnation serves one service for its whole life, and states its start time in all of
+    /// its records or in none. So a record that newly states a start time belongs to another
+    /// incarnation: taking it for the same one would keep holds that may belong to other calls by
+    /// now, while the opposite mistake costs reading some prompts again, once. A record without a
+    /// start time says nothing about the incarnation and counts as the known one, unless the
+    /// address differs.
     #[must_use]
     pub fn compare_start(&self, record: &EndpointInfo) -> StartOrder {
         match (self.start_time, record.start_time) {
--- a/crates/basilbank_forward/src/lib.rs
+++ b/crates/basilbank_forward/src/lib.rs
@@ -1,9 +1,10 @@
-//! The decisions about forwarded calls, without I/O: one reducer over all events, effects as data.
+//! The decisions about forwarded calls, without I/O: one reducer over all events, with effects as
+//! data.
 //!
-//! A forwarded call is opaque: method, path, headers and body go on unchanged, and the answer comes
-//! back unchanged. What decisions need (route, deadline, prompt sizes) stands in [`Call`]. The
-//! caller of this crate owns sockets and clocks, feeds [`Event`]s to [`reduce`] and carries out the
-//! [`Effect`]s that come back.
+//! A forwarded call is opaque: method, path, headers and body are passed on unchanged, and so is
+//! the answer. What decisions need of a call (route, deadline, prompt sizes) is in [`Call`]. The
+//! user of this crate owns the sockets and clocks, passes [`Event`]s to [`reduce`] and carries out
+//! the [`Effect`]s that it returns.
 
 pub mod call;
 pub mod effect;
--- a/crates/basilbank_forward/src/prelude.rs
+++ b/crates/basilbank_forward/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types.
+//! Re-exports of the types that most users of this crate need.
 
 pub use basilbank_core::time::{Clock, Now};
 
--- a/crates/basilbank_forward/src/route.rs
+++ b/crates/basilbank_forward/src/route.rs
@@ -1,47 +1,48 @@
-//! Routes: which service a call goes to, and what may be done with it.
+//! Routes: the service that a call goes to, and whether the call may be repeated.
 
 use std::{collections::HashMap, time::Duration};
 
 use crate::team::Teams;
 
-/// What may be repeated.
+/// Whether calls on a route may be repeated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A call may run more than once.
     Idempotent,
-    /// May run at most once.
+    /// A call may run at most once.
     NonIdempotent,
-    /// A stream of events. It may run once, and only a resumable one may go on elsewhere.
+    /// The answer is a stream of events. A call may run once; only a resumable stream may continue
+    /// at another endpoint.
     Streaming,
 }
 
-/// One route.
+/// One route of the configuration.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The route's name, for logs.
     pub name: String,
-    /// The host that it is for, in lowercase.
+    /// The host that it matches, in lowercase.
     pub host: String,
-    /// Paths that begin with this; it begins and ends with a slash.
+    /// The path prefix that it matches. It begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its calls may be repeated.
     pub kind: RouteKind,
-    /// The longest time that a call is kept waiting.
+    /// Maximum time until a call is answered.
     pub timeout: Duration,
-    /// The time within which an answer is on time.
+    /// Time within which an answer counts as on time.
     pub target: Duration,
-    /// Services with their weights.
+    /// The services that share its calls, with their weights.
     pub split: Vec<(String, u32)>,
-    /// Endpoints that one call may be sent to at the most.
+    /// Maximum number of endpoints that one call is sent to.
     pub max_attempts: u32,
-    /// A stream may go on at another endpoint.
+    /// Whether a stream may continue at another endpoint.
     pub resumable: bool,
-    /// Its callers need no key.
+    /// Whether its callers need no key.
     pub public: bool,
 }
 
 impl Route {
-    /// A call on this route may run more than once.
+    /// Returns whether a call on this route may run more than once.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
@@ -51,7 +52,8 @@
         }
     }
 
-    /// The service for a number from 0 up to but without 1.
+    /// Returns the service for `unit`, a random number from 0 up to but excluding 1, by the
+    /// services' weights.
     #[must_use]
     pub fn pick_service(&self, unit: f64) -> Option<&str> {
         let total: u32 = self.split.iter().map(|(_, weight)| weight).sum();
@@ -66,41 +68,41 @@
     }
 }
 
-/// What is known of a service besides its endpoints.
+/// The configuration of a service, apart from its endpoints.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Service {
-    /// The model engine's figures; `None` for plain services.
+    /// Properties of its model engine; `None` for plain services.
     pub engine: Option<EngineInfo>,
 }
 
-/// A model engine's figures.
+/// Properties of a model engine.
 #[derive(Clone, PartialEq, Debug)]
 pub struct EngineInfo {
-    /// Tokens that an endpoint's memory holds.
+    /// Number of tokens that an endpoint's memory holds.
     pub memory_tokens: u32,
-    /// How long a KV cache waits to be taken.
+    /// Time for which a prefill endpoint keeps a KV cache until it is taken.
     pub kv_ttl: Duration,
-    /// How long an endpoint takes to change its stage.
+    /// Time that an endpoint takes to change its stage.
     pub stage_change: Duration,
-    /// The longest that a slot can be held ahead of a call; zero when it can't be.
+    /// Maximum time that a slot can be held ahead of a call; zero when slots can't be held.
     pub max_hold: Duration,
 }
 
-/// What callers may send.
+/// Limits for connections and requests of callers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct RequestLimits {
-    /// Largest request head in bytes.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Largest request body in bytes.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Longest time for a request's head.
+    /// Maximum time in which a request's head arrives.
     pub head_timeout: Duration,
-    /// Longest time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for RequestLimits {
-    /// Holds until a configuration is known: what common servers take.
+    /// Returns the limits until a configuration is known, which are those of common servers.
     fn default() -> RequestLimits {
         RequestLimits {
             head_bytes: 16 << 10,
@@ -114,33 +116,33 @@
 /// One version of the configuration.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct RouteTable {
-    /// Its version; 0 for none.
+    /// The configuration's version; 0 before any is known.
     pub version: u64,
     /// Services by name.
     pub services: HashMap<String, Service>,
-    /// What callers may send.
+    /// Limits for callers.
     pub limits: RequestLimits,
-    /// The teams; none where callers need no keys.
+    /// The teams; `None` where callers need no keys.
     pub teams: Option<Teams>,
     routes: Vec<Route>,
     hosts: HashMap<String, Vec<usize>>,
 }
 
 impl RouteTable {
-    /// A table with this version.
+    /// Creates an empty table with this version.
     #[must_use]
     pub fn new(version: u64) -> RouteTable {
         RouteTable { version, ..RouteTable::default() }
     }
 
-    /// With these routes.
+    /// Sets the routes.
     #[must_use]
     pub fn with_routes(mut self, routes: Vec<Route>) -> RouteTable {
         self.hosts.clear();
         for (at, route) in routes.iter().enumerate() {
             self.hosts.entry(route.host.clone()).or_default().push(at);
         }
-        // The longest prefix comes first, so that the first match is the one.
+        // `find` returns the first match, so the longest prefix has to come first.
         for list in self.hosts.values_mut() {
             list.sort_by_key(|at| std::cmp::Reverse(routes[*at].prefix.len()));
         }
@@ -148,41 +150,41 @@
         self
     }
 
-    /// With a service.
+    /// Adds a service.
     #[must_use]
     pub fn with_service(mut self, name: &str, service: Service) -> RouteTable {
         self.services.insert(name.to_owned(), service);
         self
     }
 
-    /// With teams: callers need keys.
+    /// Sets the teams. Callers then need keys.
     #[must_use]
     pub fn with_teams(mut self, teams: Teams) -> RouteTable {
         self.teams = Some(teams);
         self
     }
 
-    /// With what callers may send.
+    /// Sets the limits for callers.
     #[must_use]
     pub fn with_limits(mut self, limits: RequestLimits) -> RouteTable {
         self.limits = limits;
         self
     }
 
-    /// The route for a host and a path: the longest prefix that begins the path.
+    /// Returns the route for a host and a path: the one with the longest matching prefix.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let list = self.hosts.get(host)?;
         list.iter().map(|at| &self.routes[*at]).find(|route| path.starts_with(&route.prefix))
     }
 
-    /// All routes.
+    /// Returns all routes.
     #[must_use]
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// The engine's figures of a service, if it has an engine.
+    /// Returns the properties of a service's engine, if it has one.
     #[must_use]
     pub fn engine(&self, service: &str) -> Option<&EngineInfo> {
         self.services.get(service)?.engine.as_ref()
--- a/crates/basilbank_forward/src/state.rs
+++ b/crates/basilbank_forward/src/state.rs
@@ -62,35 +62,36 @@
     tuning::Tuning,
 };
 
-/// Daemons that a fleet may have: the size that the design aims at.
+/// Number of daemons in a fleet of the size that the design aims at.
 const DESIGN_FLEET_SIZE: usize = 320;
 
-/// Part of the wait that a watch waits at least; the rest is random, since changes end all daemons'
-/// watches at the same time.
+/// Minimum wait of a watch as a fraction of its full wait. The rest is random, because a change
+/// ends the watches of all daemons at the same time.
 const MIN_WAIT_FRACTION: f64 = 0.4;
 
-/// Milliseconds by which a peer's start lies before the own one when it has seen the load of the time
-/// before: more than a restart of all at the same moment spreads, clocks included.
+/// Minimum time in milliseconds by which a peer must have started earlier than this daemon to know
+/// the load from before this daemon's start. A simultaneous restart of all daemons is spread over
+/// less, clock differences included.
 const MIN_START_GAP_MS: u64 = 3000;
 
-/// How peers name a service to each other.
+/// Returns the hash of a service's name that identifies it in messages between daemons.
 #[must_use]
 pub fn service_hash(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
 
-/// All of it.
+/// The state of one daemon, as far as it concerns forwarded calls.
 #[derive(Debug)]
 pub struct State {
-    /// Who this daemon is.
+    /// This daemon's identity.
     pub local: Local,
-    /// Constants.
+    /// Constants of the decisions.
     pub tuning: Tuning,
     /// The configuration in force.
     pub routes: Arc<RouteTable>,
-    /// The endpoints.
+    /// The discovered endpoints.
     pub directory: Directory,
-    /// Endpoints' entries beside those that are in use.
+    /// Endpoint records that are excluded from use, and what later records are checked against.
     pub records: EndpointRecords,
     /// Calls in progress.
     pub requests: HashMap<RequestId, Request>,
@@ -100,53 +101,53 @@
     pub peers: Peers,
     /// Endpoints that did not answer.
     pub suspects: Suspects,
-    /// Endpoints that take so many calls a second only.
+    /// Endpoints that limit the number of calls per second.
     pub call_limits: CallLimits,
-    /// Permits for them.
+    /// Permits that this daemon holds or has requested, for endpoints with a call limit.
     pub permit_holder: PermitHolder,
-    /// Permits that this daemon gives out.
+    /// Permits that this daemon issues, for endpoints with a call limit.
     pub permit_issuer: PermitIssuer,
-    /// Endpoints that crashed, and what ran there.
+    /// Endpoints that crashed, and the calls that were running there.
     pub crashes: Crashes,
-    /// How new the configuration in force is for certain.
+    /// How recently the configuration in force was confirmed to be the newest.
     pub freshness: Freshness,
     /// What this daemon's callers have taken of the teams' quotas.
     pub quotas: Quotas,
-    /// Quotas that this daemon counts for all.
+    /// Quotas that this daemon owns, and so counts for all daemons.
     pub owned_quotas: OwnedQuotas,
     /// Calls that are not sent to endpoints.
     pub quarantine: Quarantine,
-    /// How fast drafts of a service are generated, by this daemon's own.
+    /// Generation speed of completions by service, as measured by this daemon.
     pub generation_stats: HashMap<String, GenerationStats>,
-    /// Drafts that wait for room.
+    /// Completions that wait for capacity.
     pub waiting: Vec<RequestId>,
-    /// The line in which the drafts of all daemons wait.
+    /// The queue in which the completions of all daemons wait.
     pub queue: CompletionQueue,
-    /// There may be room for them since it was last looked for.
+    /// Whether there may be new capacity for waiting completions since it was last checked.
     pub(crate) capacity_changed: bool,
-    /// When room was last looked for on their behalf.
+    /// When capacity for waiting completions was last checked.
     pub(crate) capacity_checked: Duration,
     /// The store's revision at which the configuration was read.
     pub routes_revision: Revision,
-    /// The revision at which the last change that matters was seen, here or by a peer.
+    /// The newest revision of each topic at which this daemon or a peer knows a relevant change.
     pub latest_changes: PerTopic<Revision>,
-    /// A revision that a peer told of and the store hasn't reached, if any. It goes round among daemons
-    /// until all have asked the store.
+    /// The last revision of each topic that a peer reported and the store turned out not to have,
+    /// if any. Such a revision circulates among daemons until all of them have asked the store.
     pub missing_revisions: PerTopic<Revision>,
-    /// Endpoints' entries that matter were read, and their revision isn't known yet.
+    /// Whether relevant changes of endpoint records were read whose revision isn't known yet.
     pub(crate) records_changed: bool,
-    /// Orders to endpoints.
+    /// Orders to endpoints to change their stage.
     pub roles: Roles,
-    /// When the first event came.
+    /// When the first event was handled.
     pub(crate) started: Option<Duration>,
-    /// SIGTERM came.
+    /// The shutdown in progress, if SIGTERM was received.
     pub leaving: Option<Leaving>,
     pub(crate) rng: Rng,
     timers: BTreeSet<(Duration, RequestId)>,
 }
 
 impl State {
-    /// A daemon that knows nothing yet.
+    /// Creates the state of a daemon that has just started.
     #[must_use]
     pub fn new(local: Local, tuning: Tuning) -> State {
         let rng = Rng::new(local.seed);
@@ -192,10 +193,11 @@
         }
     }
 
-    /// Daemons among which the slack of the retry budgets is shared.
+    /// Returns the number of daemons that share the slack of the retry budgets.
     ///
-    /// A daemon that has just started knows few peers yet, and those that started with it may all have
-    /// used their shares a moment ago: for a window it takes the fleet for a large one.
+    /// A daemon that has just started knows few peers, and the daemons that started with it may all
+    /// have used up their shares shortly before. So for one window it assumes a fleet of the design
+    /// size.
     #[must_use]
     pub fn slack_sharers(&self, now: Duration) -> usize {
         let is_recent = self.started.is_none_or(|at| now < at + self.tuning.retry_window);
@@ -203,27 +205,29 @@
         if is_recent { known.max(DESIGN_FLEET_SIZE) } else { known }
     }
 
-    /// This daemon has just started again, and so have all that it hears: nobody's load is known, and
-    /// callers whose streams were cut come back all at once.
+    /// Returns whether this daemon and all of its known peers have just restarted. Nobody's load is
+    /// known then, and callers whose streams were cut retry all at once.
     #[must_use]
     pub fn is_cold_start(&self, now: Duration) -> bool {
         let is_older = |peer: &Peer| self.started_before(peer.incarnation);
         self.is_recently_started(now) && !self.peers.known.values().any(is_older)
     }
 
-    /// This daemon has just started again.
+    /// Returns whether this daemon has just restarted.
     fn is_recently_started(&self, now: Duration) -> bool {
         let is_recent = self.started.is_some_and(|at| now < at + self.tuning.cold_start);
         is_recent && self.local.start == SystemStart::Restart
     }
 
-    /// A peer with this incarnation has run for some time when this daemon started.
+    /// Returns whether a peer with this incarnation had been running for some time when this daemon
+    /// started.
     #[must_use]
     pub fn started_before(&self, incarnation: u64) -> bool {
         incarnation + MIN_START_GAP_MS < self.local.incarnation
     }
 
-    /// Daemons that there may be. Right after a start that all may have made together nobody knows.
+    /// Returns the assumed number of daemons in the fleet. Shortly after a start that all daemons
+    /// may have made together nobody knows the number, so it is at least the design size.
     #[must_use]
     pub fn fleet_size(&self, now: Duration) -> usize {
         let is_unknown = self.is_recently_started(now) && !self.peers.fleet_reported;
@@ -234,7 +238,7 @@
         }
     }
 
-    /// How drafts of a service grow, by what all daemons have measured.
+    /// Returns how fast a service's completions grow, by the measurements of all daemons.
     #[must_use]
     pub fn growth(&self, service: &str) -> Growth {
         let stats = self.generation_stats(service);
@@ -244,6 +248,7 @@
         }
     }
 
+    /// Returns the merged generation stats of all daemons for a service.
     fn generation_stats(&self, service: &str) -> GenerationStats {
         let own = self.generation_stats.get(service).copied().unwrap_or_default();
         let name = service_hash(service);
@@ -252,7 +257,8 @@
         reported.fold(own, |all, (_, stats)| all.merge(*stats))
     }
 
-    /// How many peers have a draft in the line that goes before one with this due time.
+    /// Returns the number of peers with a queued completion that is ahead of one with this due
+    /// time.
     #[must_use]
     pub fn peers_ahead(&self, service: &str, due: Duration, now: Duration) -> usize {
         let name = service_hash(service);
@@ -265,28 +271,29 @@
         self.peers.known.values().filter(|peer| is_ahead(peer)).count()
     }
 
-    /// Calls can be served: configuration and endpoints are known, no key may have been taken away, and the
-    /// daemon stays.
+    /// Returns whether calls can be served: the configuration and the endpoints are known, no key
+    /// can have been revoked unnoticed, and the daemon is not shutting down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let is_trusted = !self.needs_confirmation() || self.can_trust_keys(self.peers.now);
         self.is_initialized() && self.leaving.is_none() && is_trusted
     }
 
-    /// Configuration and endpoints are known.
+    /// Returns whether the configuration and the endpoints are known.
     #[must_use]
     pub fn is_initialized(&self) -> bool {
         self.routes.version != 0 && !self.directory.revision.is_none()
     }
 
-    /// A peer has seen a change in the store that this daemon has not read.
+    /// Returns whether a peer has seen a change of the topic in the store that this daemon has not
+    /// read.
     #[must_use]
     pub fn is_stale(&self, topic: Topic) -> bool {
         let read = self.revision(topic);
         !read.is_none() && read < *self.latest_changes.get(topic)
     }
 
-    /// The store's revision at which a topic was read.
+    /// Returns the store's revision at which a topic was read.
     #[must_use]
     pub fn revision(&self, topic: Topic) -> Revision {
         match topic {
@@ -295,7 +302,7 @@
         }
     }
 
-    /// What a topic's reader has to know.
+    /// Returns what a topic's reader has to know about this daemon and its peers.
     pub fn reader_context(&mut self, topic: Topic) -> Around {
         let wait = self.pick_watch_wait();
         let FollowState { follows, watcher_losses } = self.follow_state();
@@ -308,15 +315,17 @@
         Around { wait, most, peers, shared, news, follows, doubts: watcher_losses }
     }
 
-    /// The fleet is so large that what daemons hear of each other a second is bounded.
+    /// Returns whether the fleet is so large that the bytes per second that daemons receive from
+    /// each other are limited.
     #[must_use]
     pub fn is_gossip_limited(&self) -> bool {
         MAX_PEERS_UNLIMITED_GOSSIP < self.peers.known.len()
     }
 
-    /// No configuration is known, or a peer has read a newer one: what it lacks or forbids may be there
-    /// or allowed by now, so no caller may be told so for good. The store itself may hold an older one
-    /// than a peer has in force, when it has come back from a copy.
+    /// Returns whether no configuration is known, or a peer has read a newer one. What this
+    /// daemon's configuration lacks or forbids may exist or be allowed by now, so no caller may get
+    /// a final refusal because of it. A store that was restored from a copy may itself hold an
+    /// older configuration than a peer has in force.
     #[must_use]
     pub fn is_configuration_outdated(&self) -> bool {
         let is_newer = |peer: &Peer| self.routes.version < peer.version;
@@ -325,16 +334,18 @@
             || self.peers.known.values().any(is_newer)
     }
 
-    /// How long the next watch of the store waits for a change.
+    /// Returns a random time for which the next watch of the store waits for a change.
     ///
-    /// Each call to the store is paid for, so a wait should be long. But an open connection can go
-    /// silent without a sign, and a watch on it would wait to its end while endpoints leave. Daemons
-    /// that hear each other wait long, each for another time: the first whose watch ends reads what
-    /// came, and tells the others, which then ask anew. A daemon that hears few relies on itself.
+    /// Each call to the store costs money, so the wait should be long. But an open connection can
+    /// go silent without a sign, and a watch on it would wait to its end while endpoints leave.
+    /// Daemons that are in contact with each other wait long, each for a different time: the first
+    /// one whose watch ends reads the changes and reports them to the others, which then ask again.
+    /// A daemon with few peers relies on itself.
     pub fn pick_watch_wait(&mut self) -> Duration {
         let tuning = &self.tuning;
-        // Those that watch for others have few to share the watch with; those that should rest on others
-        // and can't, since these don't see the store, have none.
+        // A watcher of a large fleet shares the work with the few other watchers. A daemon that
+        // should follow the watchers and can't, since they don't see the store, shares it with
+        // nobody.
         let peers = match (self.is_large_fleet(), self.is_watcher()) {
             (false, _) => self.peers.known.len(),
             (true, true) => watchers::MIN_WATCHERS,
@@ -346,13 +357,13 @@
         wait.mul_f64(MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.rng.unit())
     }
 
-    /// When the next `Tick` is due.
+    /// Returns when the next `Tick` is due.
     #[must_use]
     pub fn wake_at(&self) -> Option<Duration> {
         let timer = self.timers.first().map(|(at, _)| *at);
         let expiry = self.directory.next_expiry();
         let probe = self.suspects.due();
-        // Drafts that run need less from one moment to the next, also when nothing happens.
+        // Running completions need less capacity as time passes, also when no event arrives.
         let capacity_check =
             (!self.waiting.is_empty()).then_some(self.capacity_checked + self.tuning.hold_pause);
         let queue_turn = self.queue.next_turn.filter(|_| !self.waiting.is_empty());
--- a/crates/basilbank_forward/src/state/call_limits.rs
+++ b/crates/basilbank_forward/src/state/call_limits.rs
@@ -1,52 +1,55 @@
-//! Endpoints that take so many calls a second from all daemons together, as they say in their answers.
+//! Endpoints that limit the number of calls per second from all daemons together, as their answers
+//! state.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::endpoint::EndpointKey;
 
-/// How long after an endpoint has named its limit an answer that doesn't name it is taken for an earlier one
-/// that came late.
+/// Time after an endpoint has stated its limit during which an answer without one counts as an
+/// earlier answer that arrived late.
 const MAX_REORDERING: Duration = Duration::from_secs(1);
 
-/// How long this daemon tells what it was the first to see: some datagrams, also in a large fleet.
+/// Time for which the daemon that sees a limit first reports it: some datagrams, also in a large
+/// fleet.
 const REPORT_FOR: Duration = Duration::from_secs(6);
 
-/// What is known to all is told again after this, by the daemon that sees it next, for those that start.
+/// Time after which a limit that all daemons know is reported again, by the daemon that sees it
+/// next, for daemons that have started since.
 const REPORT_AGAIN_AFTER: Duration = Duration::from_secs(3);
 
-/// All of them.
+/// The call limits of all endpoints.
 #[derive(Debug, Default)]
 pub struct CallLimits {
     limits: BTreeMap<EndpointKey, CallLimit>,
 }
 
-/// What an endpoint has said of its limit.
+/// The call limit that an endpoint has stated.
 #[derive(Clone, Copy, Debug)]
 pub struct CallLimit {
-    /// Calls a second; `None` when it takes as many as come.
+    /// Calls per second; `None` when the endpoint has no limit.
     pub rate: Option<f64>,
-    /// When it said so.
+    /// When the endpoint last stated it.
     pub seen: Duration,
-    /// When it said what was told last, by this daemon or a peer.
+    /// When the endpoint stated the limit that was reported last, by this daemon or a peer.
     pub reported: Duration,
-    /// This daemon tells it.
+    /// Whether this daemon reports it.
     pub own: bool,
 }
 
 impl CallLimits {
-    /// No endpoint has named a limit.
+    /// Returns whether no endpoint has stated a limit.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
 
-    /// Calls a second that the endpoint takes, if it has a limit.
+    /// Returns the number of calls per second that the endpoint takes, if it has a limit.
     #[must_use]
     pub fn get(&self, endpoint: EndpointKey) -> Option<f64> {
         self.limits.get(&endpoint)?.rate
     }
 
-    /// Takes an answer's word in; true when it is another one than before.
+    /// Records the limit in an answer of the endpoint, and returns whether the limit has changed.
     pub fn record_answer(
         &mut self,
         endpoint: EndpointKey,
@@ -65,7 +68,8 @@
         changed
     }
 
-    /// Takes a peer's word in of what it saw at `seen`; true when it is another one than before.
+    /// Applies a peer's report of a limit that it saw at `seen`, and returns whether the limit has
+    /// changed.
     pub fn apply_report(
         &mut self,
         endpoint: EndpointKey,
@@ -80,14 +84,14 @@
         before.and_then(|limit| limit.rate) != rate
     }
 
-    /// What this daemon has seen lately itself.
+    /// Returns the limits that this daemon has recently seen itself, to be reported to peers.
     pub fn to_report(&self, now: Duration) -> impl Iterator<Item = (EndpointKey, CallLimit)> {
         let is_recent = move |limit: &CallLimit| limit.own && now < limit.reported + REPORT_FOR;
         let all = self.limits.iter().map(|(key, limit)| (*key, *limit));
         all.filter(move |(_, limit)| is_recent(limit))
     }
 
-    /// The endpoint is gone.
+    /// Forgets the limit of an endpoint that was removed.
     pub fn remove(&mut self, endpoint: EndpointKey) {
         self.limits.remove(&endpoint);
     }
--- a/crates/basilbank_forward/src/state/completion_queue.rs
+++ b/crates/basilbank_forward/src/state/completion_queue.rs
@@ -1,24 +1,26 @@
-//! The line in which the drafts of all daemons wait for room.
+//! The queue in which the completions of all daemons wait for capacity.
 //!
-//! When a draft ends, all daemons hear of the room at the same moment. Without an order each of them
-//! gives it to a draft of its own, and the endpoint gets ten drafts for the room of one: then it puts
-//! drafts back whose prompts were read, and they are late. So each daemon tells which draft of its own
-//! goes first, and leaves the room for a moment to each daemon whose draft goes before that one.
+//! When a completion ends, all daemons learn of the free capacity at the same moment. Without an
+//! order each of them would give it to a completion of its own, and the endpoint would get ten
+//! completions for the capacity of one. It would then preempt completions whose prompts have
+//! already been read, and those would be late. So each daemon reports which of its own completions
+//! is first, and leaves free capacity for a moment to each daemon whose completion is ahead of its
+//! own.
 
 use std::{collections::HashMap, time::Duration};
 
-/// What a daemon knows of the line.
+/// What a daemon knows about the queue.
 #[derive(Debug, Default)]
 pub struct CompletionQueue {
-    /// Since when there is room at a service, by what this daemon knows.
+    /// Since when a service has free capacity, as far as this daemon knows.
     capacity_since: HashMap<String, Duration>,
-    /// When the next draft's turn comes.
+    /// When it is the next completion's turn to use free capacity.
     pub(crate) next_turn: Option<Duration>,
 }
 
 impl CompletionQueue {
-    /// There is room at a service, and it is left to drafts of peers for so long: when this daemon's turn
-    /// comes.
+    /// Returns when this daemon may use a service's free capacity, which it leaves to the
+    /// completions of peers for `wait`.
     pub fn turn_at(&mut self, service: &str, wait: Duration, now: Duration) -> Duration {
         let since = match self.capacity_since.get(service) {
             Some(since) => *since,
@@ -27,24 +29,25 @@
         since + wait
     }
 
-    /// A draft has taken the room, or there is none.
+    /// Records that a service has no free capacity, or that a completion has taken it.
     pub fn clear_capacity(&mut self, service: &str) {
         self.capacity_since.remove(service);
     }
 }
 
-/// A place in the line: those that can still be on time go first, the one that is due soonest before
-/// the others.
+/// A position in the queue. Completions that can still be on time come first, ordered by their due
+/// times.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct QueuePosition {
-    /// It can't be on time.
+    /// Whether the completion can't be on time.
     pub late: bool,
     /// When its first token is due.
     pub due: Duration,
 }
 
 impl QueuePosition {
-    /// The place of a draft that is due then, if its first token can't come before `soonest`.
+    /// Returns the position of a completion with this due time whose first token can't come before
+    /// `soonest`.
     #[must_use]
     pub fn new(due: Duration, soonest: Duration) -> QueuePosition {
         QueuePosition { late: due < soonest, due }
--- a/crates/basilbank_forward/src/state/crashes.rs
+++ b/crates/basilbank_forward/src/state/crashes.rs
@@ -1,8 +1,9 @@
 //! Endpoints that crashed, and the calls that were running there.
 //!
-//! A call that crashes each endpoint that runs it comes again under another id, at any daemon, and takes all
-//! that runs beside it down as well. So each daemon tells which of its calls ran at an endpoint that crashed,
-//! and all of them draw the same conclusion from all reports.
+//! A call that crashes every endpoint that runs it is sent again by its caller under another id, to
+//! any daemon, and takes down all calls that run beside it. So each daemon reports which of its
+//! calls were running at an endpoint that crashed, and all daemons draw the same conclusion from
+//! all reports.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -13,54 +14,59 @@
 
 use crate::{call::Digest, endpoint::EndpointKey};
 
-/// Crashes under one call from which on it is taken for their cause.
+/// Number of crashes from which on a call that was part of all of them counts as their cause.
 const MIN_CRASHES: usize = 3;
 
-/// From the first report of a crash until it counts: by then the others who had calls there have reported.
-/// The first reports alone would put the blame on whoever they happen to name.
+/// Time from the first report of a crash until the crash counts. By then the other daemons with
+/// calls there have reported; the first reports alone would blame whichever calls they happen to
+/// name.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Least time between two looks for a cause: reports come singly, and each look goes through all.
+/// Minimum time between two analyses: reports arrive one by one, and each analysis goes through all
+/// of them.
 const MIN_ANALYSIS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a crash counts.
+/// Time for which a crash counts.
 const CRASH_WINDOW: Duration = Duration::from_secs(600);
 
-/// How long it may take to learn that an endpoint has crashed, after a call there broke off.
+/// Maximum time after a call broke off at an endpoint within which a crash of the endpoint is
+/// detected.
 const MAX_DETECTION_DELAY: Duration = Duration::from_secs(4);
 
-/// Crashes that are kept, the latest.
+/// Maximum number of crashes that are kept; the latest ones are.
 const MAX_CRASHES: usize = 128;
 
-/// Calls that are kept for one crash: what a large endpoint runs at once.
+/// Maximum number of calls that are kept for one crash: the number that a large endpoint runs at
+/// once.
 const MAX_CALLS_PER_CRASH: usize = 256;
 
-/// Own calls that are kept until it is known whether their endpoint has crashed.
+/// Maximum number of own broken calls that are kept until it is known whether their endpoint has
+/// crashed.
 const MAX_BROKEN_CALLS: usize = 1024;
 
-/// Own words to peers that are kept until they have been told.
+/// Maximum number of own announcements to peers that are kept until all repetitions have been sent.
 const MAX_ANNOUNCEMENTS: usize = 256;
 
-/// Own words in one datagram.
+/// Maximum number of own announcements in one datagram.
 const MAX_PER_DATAGRAM: usize = 48;
 
-/// Datagrams that carry each word.
+/// Number of datagrams that carry each announcement.
 const REPETITIONS: u8 = 5;
 
-/// Time from the first of them to the second, doubled for each further one: they must outlast a peer's short
-/// cut, and a loss must not cost much time.
+/// Time from the first of these datagrams to the second, doubled for each further one. Together
+/// they outlast a short loss of contact with a peer, and one lost datagram costs little time.
 const FIRST_REPEAT_DELAY: Duration = Duration::from_millis(300);
 
-/// All of them.
+/// Crashes that this daemon knows, and its announcements about them.
 #[derive(Debug, Default)]
 pub struct Crashes {
     broken_calls: VecDeque<BrokenCall>,
     crashes: HashMap<u32, Crash>,
     reports: VecDeque<Announcement<CrashReport>>,
     cleared: VecDeque<Announcement<Digest>>,
-    /// When a cause is looked for next.
+    /// When the next analysis is due.
     due: Option<Duration>,
-    /// When it was looked for last.
+    /// When the last analysis was done.
     last_analysis: Duration,
 }
 
@@ -71,32 +77,32 @@
     digest: Digest,
     ran: Duration,
     at: Duration,
-    /// The endpoint has answered since.
+    /// Whether the endpoint has answered since.
     answered: bool,
 }
 
-/// How an endpoint's end is known.
+/// The evidence that an endpoint has crashed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CrashEvidence {
-    /// It did not answer.
+    /// The endpoint did not answer.
     Unreachable,
-    /// It has gone from the list without having said that it leaves.
+    /// The endpoint was removed from the list without having announced that it leaves.
     Unlisted,
-    /// It has started again, or another one has its address.
+    /// The endpoint has restarted, or another one has its address.
     Replaced,
 }
 
 #[derive(Debug)]
 struct Crash {
-    /// When the first report came.
+    /// When the first report arrived.
     since: Duration,
-    /// The calls that were running, and how long each had been.
+    /// The calls that were running, and how long each one had been running.
     calls: BTreeMap<Digest, Duration>,
-    /// One of them is known for the cause; the others are not to blame.
+    /// Whether one of the calls is known to be the cause, so that the others are not to blame.
     explained: bool,
 }
 
-/// Something that peers are told.
+/// An item that is sent to peers several times.
 #[derive(Clone, Copy, Debug)]
 struct Announcement<T> {
     item: T,
@@ -111,19 +117,19 @@
 }
 
 impl Crashes {
-    /// Calls that are kept, over all crashes.
+    /// Returns the number of calls that are kept, over all crashes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.crashes.values().map(|crash| crash.calls.len()).sum()
     }
 
-    /// No call is kept.
+    /// Returns whether no call is kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// An own call broke off.
+    /// Records that an own call broke off after it had been running for `ran`.
     pub fn record_broken_call(
         &mut self,
         endpoint: EndpointKey,
@@ -141,14 +147,15 @@
         );
     }
 
-    /// The endpoint has answered: calls broke off for another reason, unless it is its next start that
-    /// answers.
+    /// Records that the endpoint has answered. Its calls then broke off for another reason, unless
+    /// it is the next incarnation that answers.
     pub fn record_answer(&mut self, endpoint: EndpointKey) {
         let there = self.broken_calls.iter_mut().filter(|call| call.endpoint == endpoint);
         there.for_each(|call| call.answered = true);
     }
 
-    /// The endpoint, which peers know by `hash`, has crashed; the reports of own calls that ran there.
+    /// Records that the endpoint, which peers know by `hash`, has crashed, and returns the reports
+    /// of own calls that were running there.
     pub fn record_crash(
         &mut self,
         endpoint: EndpointKey,
@@ -173,7 +180,8 @@
         reports
     }
 
-    /// Takes a report in, of this daemon or a peer. `known` says that its call is in quarantine.
+    /// Applies a report of this daemon or a peer. `known` states that the reported call is in
+    /// quarantine.
     pub fn apply_report(&mut self, report: &CrashReport, known: bool, now: Duration) {
         if !self.crashes.contains_key(&report.endpoint) && self.crashes.len() == MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.since);
@@ -191,14 +199,15 @@
         self.due = Some(self.due.map_or(settled, |due| due.min(settled)));
     }
 
-    /// The call was running at an endpoint that crashed, and nothing else explains that yet.
+    /// Returns whether the call was running at an endpoint that crashed, and nothing else explains
+    /// that crash yet.
     #[must_use]
     pub fn is_suspect(&self, digest: Digest) -> bool {
         self.crashes.values().any(|crash| !crash.explained && crash.calls.contains_key(&digest))
     }
 
-    /// Until when it is open whether the call is the cause of crashes: it has been part of enough, and not all
-    /// who had calls there have reported.
+    /// Returns until when it is undecided whether the call is the cause of crashes: it has been
+    /// part of enough crashes, and not all daemons with calls there have reported.
     #[must_use]
     pub fn undecided_until(&self, digest: Digest, now: Duration) -> Option<Duration> {
         let has_call = |crash: &&Crash| !crash.explained && crash.calls.contains_key(&digest);
@@ -212,28 +221,29 @@
         last.filter(|_| MIN_CRASHES <= settles.len())
     }
 
-    /// The call has run to its end: it does not crash endpoints.
+    /// Clears a call of suspicion: it has run to completion, so it doesn't crash endpoints.
     pub fn clear(&mut self, digest: Digest) {
         for crash in self.crashes.values_mut() {
             crash.calls.remove(&digest);
         }
     }
 
-    /// The same, seen here: peers are told.
+    /// Clears a call that has run to completion through this daemon, and announces that to peers.
     pub fn clear_and_announce(&mut self, digest: Digest) {
         self.clear(digest);
         push_bounded(&mut self.cleared, Announcement::new(digest), MAX_ANNOUNCEMENTS);
     }
 
-    /// When a cause is to be looked for.
+    /// Returns when the next analysis is due.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
         self.due
     }
 
-    /// The cause of some crashes, and how many: the call that ran at most of them. Of two that ran at the
-    /// same ones it is the one that had been there for less time, since the cause crashes an endpoint as it
-    /// begins, and the others had come before.
+    /// Returns a call that is the cause of crashes, and their number: the call that was part of the
+    /// most crashes. Of two that were part of equally many it is the one that had been running for
+    /// less time, since the cause crashes an endpoint shortly after it starts, and the others had
+    /// started earlier.
     pub fn find_cause(&mut self, now: Duration) -> Option<(Digest, usize)> {
         self.crashes.retain(|_, crash| now < crash.since + CRASH_WINDOW);
         let settles = self.crashes.values().map(|crash| crash.since + SETTLE_TIME);
@@ -254,23 +264,24 @@
         (MIN_CRASHES <= *count).then_some((*digest, *count))
     }
 
-    /// The call is in quarantine: it explains the crashes that it was part of.
+    /// Marks the crashes that the call was part of as explained by it, since it is in quarantine.
     pub fn mark_explained(&mut self, digest: Digest) {
         let has_call = |crash: &&mut Crash| crash.calls.contains_key(&digest);
         self.crashes.values_mut().filter(has_call).for_each(|crash| crash.explained = true);
     }
 
-    /// Reports for the next datagram.
+    /// Returns the reports for the next datagram, and counts them as sent.
     pub fn take_reports(&mut self, now: Duration) -> Vec<CrashReport> {
         take_due(&mut self.reports, now)
     }
 
-    /// Calls for the next datagram that have run to their end.
+    /// Returns the digests of cleared calls for the next datagram, and counts them as sent.
     pub fn take_cleared(&mut self, now: Duration) -> Vec<u64> {
         take_due(&mut self.cleared, now).into_iter().map(|digest| digest.0).collect()
     }
 }
 
+/// Appends an item, and removes the first one if the list already has `max` items.
 fn push_bounded<T>(list: &mut VecDeque<T>, item: T, max: usize) {
     if list.len() == max {
         list.pop_front();
@@ -278,6 +289,7 @@
     list.push_back(item);
 }
 
+/// Returns the announcements that are due, and schedules or removes them.
 fn take_due<T: Copy>(announcements: &mut VecDeque<Announcement<T>>, now: Duration) -> Vec<T> {
     let due = announcements.iter_mut().filter(|announcement| announcement.due <= now);
     let taken = due.take(MAX_PER_DATAGRAM).map(|announcement| {
--- a/crates/basilbank_forward/src/state/directory.rs
+++ b/crates/basilbank_forward/src/state/directory.rs
@@ -13,52 +13,54 @@
     topic::Revision,
 };
 
-/// All endpoints.
+/// All discovered endpoints.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// The store's revision of the list.
+    /// The store's revision at which the list was read.
     pub revision: Revision,
-    /// When the list was last confirmed.
+    /// When the list was last read, or confirmed to be unchanged.
     pub read_at: Duration,
-    /// Until then what is read at large may be the store's copy, older than what was read before.
+    /// Until when a read of the whole list may return the contents of the copy from which the store
+    /// was restored, which are older than what was read before.
     pub restore_doubt_until: Duration,
-    /// A read failed since.
+    /// Whether a read of the list has failed since `read_at`.
     pub store_lost: bool,
     endpoints: SlotMap<EndpointKey, Endpoint>,
-    /// Each instance's present start.
+    /// The current incarnation of each instance.
     instances: HashMap<String, EndpointKey>,
-    /// Starts that are not over, by address: a long list is taken in without a search for each entry.
+    /// Incarnations that have not ended, by address. Applying a long list needs no search for each
+    /// record.
     addresses: HashMap<SocketAddr, Vec<EndpointKey>>,
-    /// All starts that there are, also former ones whose calls go on.
+    /// All incarnations, including former ones whose calls are still in progress, by hash.
     hashes: HashMap<u32, EndpointKey>,
     services: HashMap<String, Vec<EndpointKey>>,
 }
 
 impl Directory {
-    /// How many endpoints there are.
+    /// Returns the number of endpoints.
     #[must_use]
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// There are none.
+    /// Returns whether there are no endpoints.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// The endpoint, unless it has been removed.
+    /// Returns the endpoint, unless it has been removed.
     #[must_use]
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.endpoints.get(key)
     }
 
-    /// The endpoint, to change it.
+    /// Returns a mutable reference to the endpoint, unless it has been removed.
     pub fn get_mut(&mut self, key: EndpointKey) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(key)
     }
 
-    /// The endpoints of a service that take new work.
+    /// Returns the endpoints of a service that accept new work.
     pub fn available<'a>(
         &'a self,
         name: &str,
@@ -68,7 +70,7 @@
         all.filter(|(_, endpoint)| endpoint.accepts_work())
     }
 
-    /// The endpoints of a service with this stage that take new work.
+    /// Returns the endpoints of a service with this stage that accept new work.
     pub fn available_in_stage<'a>(
         &'a self,
         name: &str,
@@ -77,26 +79,27 @@
         self.available(name).filter(move |(_, e)| e.info.stage == Some(stage))
     }
 
-    /// Listed endpoints.
+    /// Returns the endpoints that are on the list.
     pub fn listed(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.endpoints.iter().filter(|(_, endpoint)| !endpoint.unlisted)
     }
 
-    /// What a call to it needs; `None` also when it is over, for another one may answer there: names of
-    /// holds and KV caches could be that one's own.
+    /// Returns what a call to the endpoint needs. It is `None` also for an incarnation that has
+    /// ended, because another one may answer at its address, and its holds and KV caches may have
+    /// the same names.
     #[must_use]
     pub fn target(&self, key: EndpointKey) -> Option<Target> {
         let info = &self.endpoints.get(key).filter(|e| !e.ended)?.info;
         Some(Target { endpoint: key, instance: info.instance.clone(), addr: info.addr })
     }
 
-    /// What it held for calls may still be there.
+    /// Returns whether the endpoint may still have what it held for calls.
     #[must_use]
     pub fn may_keep_state(&self, key: EndpointKey) -> bool {
         self.endpoints.get(key).is_some_and(|endpoint| !endpoint.ended)
     }
 
-    /// Takes an entry of a known start in; true when it has changed.
+    /// Applies a record of a known incarnation, and returns whether the record has changed.
     pub fn update(&mut self, key: EndpointKey, info: EndpointInfo) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(key) else { return false };
         endpoint.expires_at = None;
@@ -111,7 +114,7 @@
         changed
     }
 
-    /// Takes a start in that is not known.
+    /// Adds a new incarnation.
     pub fn insert(&mut self, info: EndpointInfo) -> EndpointKey {
         let (instance, service) = (info.instance.clone(), info.service.clone());
         let (hash, addr) = (incarnation_hash(&info), info.addr);
@@ -123,13 +126,13 @@
         key
     }
 
-    /// The present start of an instance.
+    /// Returns the current incarnation of an instance.
     #[must_use]
     pub fn find(&self, instance: &str) -> Option<EndpointKey> {
         self.instances.get(instance).copied()
     }
 
-    /// The endpoints with an address that are not over, other than this instance's.
+    /// Returns the incarnations of other instances at an address that have not ended.
     #[must_use]
     pub fn others_at(&self, addr: SocketAddr, instance: &str) -> Vec<EndpointKey> {
         let other = |key: &EndpointKey| {
@@ -147,21 +150,22 @@
         }
     }
 
-    /// Takes an endpoint off the list at `at` unless it is listed again before.
+    /// Schedules the removal of an endpoint from the list at `at`, unless it is listed again
+    /// before.
     pub fn schedule_expiry(&mut self, key: EndpointKey, at: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(key).filter(|endpoint| !endpoint.unlisted) {
             endpoint.expires_at.get_or_insert(at);
         }
     }
 
-    /// Endpoints whose time is over at `now`, to be unlisted.
+    /// Returns the endpoints that have expired by `now` and have to be unlisted.
     #[must_use]
     pub fn expired(&self, now: Duration) -> Vec<EndpointKey> {
         let due = |e: &Endpoint| e.expires_at.is_some_and(|at| at <= now);
         self.endpoints.iter().filter(|(_, e)| due(e)).map(|(key, _)| key).collect()
     }
 
-    /// When the next endpoint's time is over.
+    /// Returns when the next endpoint expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         self.endpoints.values().filter_map(|e| e.expires_at).min()
@@ -176,8 +180,8 @@
         self.remove_if_idle(key);
     }
 
-    /// Ends an endpoint for good: it is not found by its instance any more, and an entry can't bring it
-    /// back. It is removed once it has no calls.
+    /// Marks an incarnation as ended for good: it is no longer found by its instance, and a record
+    /// can't bring it back. It is removed once it has no calls.
     pub fn end_incarnation(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get_mut(key) else { return };
         endpoint.unlisted = true;
@@ -191,7 +195,7 @@
         self.remove_if_idle(key);
     }
 
-    /// Counts a call, and its tokens.
+    /// Adds the usage of an own call at an endpoint.
     pub fn add_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.calls += usage.calls;
@@ -202,7 +206,7 @@
         }
     }
 
-    /// A draft begins to be generated; what it takes from then on.
+    /// Records that the generation of a completion starts, and returns its usage from then on.
     pub fn start_generation(&mut self, key: EndpointKey, usage: Usage, now: Duration) -> Usage {
         let running = Usage { generating_since: Some(now), ..usage };
         let own = self.endpoints.get_mut(key).map(|endpoint| &mut endpoint.own_usage);
@@ -212,7 +216,7 @@
         running
     }
 
-    /// Undoes [`Directory::add_usage`].
+    /// Removes usage that was added by [`Directory::add_usage`].
     pub fn remove_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             let counted = usage.calls <= endpoint.calls && usage.tokens <= endpoint.tokens;
@@ -224,21 +228,21 @@
         self.remove_if_idle(key);
     }
 
-    /// The start that peers name by this hash.
+    /// Returns the incarnation that peers identify by this hash.
     #[must_use]
     pub fn find_by_hash(&self, hash: u32) -> Option<EndpointKey> {
         self.hashes.get(&hash).copied()
     }
 
-    /// How peers name an endpoint.
+    /// Returns the hash by which peers identify an endpoint.
     #[must_use]
     pub fn hash(&self, key: EndpointKey) -> Option<u32> {
         self.endpoints.get(key).map(|endpoint| incarnation_hash(&endpoint.info))
     }
 
-    /// What this daemon has at endpoints.
+    /// Returns this daemon's load at endpoints.
     ///
-    /// `pace` says how fast drafts of a service are generated.
+    /// `rate` returns the number of tokens per second that a completion of a service generates.
     pub fn own_loads<'a>(
         &'a self,
         now: Duration,
@@ -257,13 +261,14 @@
         })
     }
 
-    /// Endpoints that peers should leave alone: the start's hash, and how much longer.
+    /// Returns the endpoints that this daemon tells its peers to avoid, as hashes, and for how much
+    /// longer.
     pub fn avoided(&self, now: Duration) -> impl Iterator<Item = (u32, Duration)> {
         let avoided = self.endpoints.values().filter(move |e| now < e.reported_until);
         avoided.map(move |e| (incarnation_hash(&e.info), e.reported_until - now))
     }
 
-    /// Counts a peer's calls.
+    /// Adds a peer's usage at an endpoint.
     pub fn add_peer_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.peer_tokens = endpoint.peer_tokens.saturating_add(usage.tokens);
@@ -274,7 +279,7 @@
         }
     }
 
-    /// Undoes [`Directory::add_peer_usage`].
+    /// Removes usage that was added by [`Directory::add_peer_usage`].
     pub fn remove_peer_usage(&mut self, key: EndpointKey, usage: Usage) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.peer_tokens = endpoint.peer_tokens.saturating_sub(usage.tokens);
@@ -283,6 +288,7 @@
         }
     }
 
+    /// Removes an endpoint that is unlisted and has no own calls.
     fn remove_if_idle(&mut self, key: EndpointKey) {
         if !self.endpoints.get(key).is_some_and(|e| e.unlisted && e.calls == 0) {
             return;
@@ -290,7 +296,7 @@
         let Some(endpoint) = self.endpoints.remove(key) else { return };
         let (hash, instance) = (incarnation_hash(&endpoint.info), &endpoint.info.instance);
         self.release_address(endpoint.info.addr, key);
-        // A later start has the instance's name by now.
+        // By now the hash and the instance may belong to a later incarnation.
         if self.hashes.get(&hash) == Some(&key) {
             self.hashes.remove(&hash);
         }
@@ -309,9 +315,10 @@
     }
 }
 
-/// How peers name a start of an instance to each other: daemons that learn of a new start at different
-/// times must not take the former one's load for its own. Two that share a hash, one in ten thousand
-/// fleets of 840, count each other's load.
+/// Returns the hash by which daemons identify an incarnation of an instance to each other. Daemons
+/// learn of a new incarnation at different times and must not count the former one's load as its
+/// own. Two endpoints with the same hash, which one in ten thousand fleets of 840 has, count each
+/// other's load.
 fn incarnation_hash(info: &EndpointInfo) -> u32 {
     let name = info.instance.as_bytes();
     let hash = match info.start_time {
--- a/crates/basilbank_forward/src/state/endpoint.rs
+++ b/crates/basilbank_forward/src/state/endpoint.rs
@@ -1,72 +1,76 @@
-//! One start of an endpoint: what the list says of it, what it has to do, and what was measured.
+//! One endpoint: its record in the list, its load, and what was measured of it.
 
 use std::time::Duration;
 
 use super::usage::{self, Growth, Usage};
 use crate::{endpoint::EndpointInfo, tuning::Tuning};
 
-/// Weight of a new measurement in the running mean of answer times: some ten answers.
+/// Weight of a new measurement in the running mean of answer times: the mean covers some ten
+/// answers.
 const ANSWER_TIME_WEIGHT: f64 = 0.1;
 
-/// Weight of a new measurement of the prefill rate: a slow endpoint is seen after some prompts.
+/// Weight of a new measurement of slowness: a slow endpoint is recognized after some prompts.
 const SLOWNESS_WEIGHT: f64 = 0.2;
 
-/// Base time that is assumed before the first prompt, in seconds.
+/// Base time that is assumed before the first prompt.
 const INITIAL_BASE_SECONDS: f64 = 0.05;
 
-/// Most that counts as base time, in seconds; what is beyond is slowness.
+/// Maximum base time; anything beyond it counts as slowness.
 const MAX_BASE_SECONDS: f64 = 0.2;
 
-/// Weight of a measurement that raises the base time: it follows the least, and forgets it after
-/// some tens of prompts.
+/// Weight of a measurement that raises the base time. The base time follows the minimum, and
+/// forgets it after some tens of prompts.
 const BASE_INCREASE_WEIGHT: f64 = 0.03;
 
-/// Shorter readings say more about round trips than about the endpoint.
+/// Minimum expected reading time by which a measured time is divided. Shorter readings say more
+/// about round trips than about the endpoint.
 const MIN_READ_SECONDS: f64 = 0.08;
 
-/// Refusals in a row after which peers are told: about a second.
+/// Number of consecutive refusals, about a second, after which peers are told to avoid the
+/// endpoint.
 const REFUSALS_BEFORE_REPORT: u32 = 5;
 
-/// Bound of the measured slowness: beyond it an endpoint counts as failed anyway.
+/// Maximum slowness; a slower endpoint counts as failed anyway.
 const MAX_SLOWNESS: f64 = 10.0;
 
-/// One endpoint.
+/// The state of one endpoint, that is of one incarnation of an instance.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the list says.
+    /// Its record in the list.
     pub info: EndpointInfo,
-    /// It is off the list; its calls in progress go on.
+    /// Whether it is off the list. Its calls in progress continue.
     pub unlisted: bool,
-    /// It has ended, and what it held is lost: its instance started again, or another one has its
-    /// address. Its calls in progress end by their own connections.
+    /// Whether the incarnation has ended and what it held is lost: its instance has restarted, or
+    /// another one has its address. Its calls in progress end when their own connections do.
     pub ended: bool,
-    /// Own calls in progress.
+    /// Number of own calls in progress.
     pub calls: u32,
-    /// Tokens of own calls: to be read at a prefill endpoint, in memory at a decode endpoint.
+    /// Tokens of own calls: those to be read at a prefill endpoint, those in memory at a decode
+    /// endpoint.
     pub tokens: u32,
     /// Tokens of peers' calls.
     pub peer_tokens: u32,
-    /// Peers' calls in progress.
+    /// Number of peers' calls in progress.
     pub peer_calls: u32,
-    /// What own calls take here, those that take memory.
+    /// Usage of each own call that takes memory.
     pub own_usage: Vec<Usage>,
-    /// What peers' calls take here.
+    /// Usage of each peer's calls that take memory.
     pub peer_usage: Vec<Usage>,
-    /// Running mean of its answer times; `None` before the first one.
+    /// Running mean of its answer times; `None` before the first answer.
     pub mean_answer_time: Option<Duration>,
-    /// Seconds that reading a prompt takes at least, whatever its length.
+    /// Minimum time in seconds that it takes to read a prompt, whatever the prompt's length.
     pub base_seconds: f64,
-    /// How many times longer it takes to read prompts than its rate says.
+    /// Time that it takes to read prompts, as a multiple of the time expected from its rate.
     pub slowness: f64,
-    /// Not used before this, unless there is nothing else.
+    /// It isn't used before this time, unless there is no other endpoint.
     pub avoided_until: Duration,
-    /// This daemon knows that it refuses work until then, and tells its peers.
+    /// Until when this daemon knows that it refuses work, and tells its peers to avoid it.
     pub reported_until: Duration,
-    /// Refusals in a row.
+    /// Number of consecutive refusals.
     refusals: u32,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     failures: u32,
-    /// Removed at this time unless it is listed again.
+    /// When it is taken off the list, unless it is listed again before.
     pub(crate) expires_at: Option<Duration>,
 }
 
@@ -93,38 +97,39 @@
         }
     }
 
-    /// It may be sent new work.
+    /// Returns whether new work may be sent to it.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         !self.unlisted && !self.info.draining
     }
 
-    /// Its entry is missing, and it is kept for a while.
+    /// Returns whether its record is missing from the list and it is only kept for a grace period.
     #[must_use]
     pub fn is_expiring(&self) -> bool {
         self.expires_at.is_some()
     }
 
-    /// Tokens of all daemons' calls, as far as they are known.
+    /// Returns the number of tokens of all daemons' calls, as far as they are known.
     #[must_use]
     pub fn total_tokens(&self) -> u32 {
         self.tokens.saturating_add(self.peer_tokens)
     }
 
-    /// Calls of all daemons, as far as they are known.
+    /// Returns the number of calls of all daemons, as far as they are known.
     #[must_use]
     pub fn total_calls(&self) -> u32 {
         self.calls.saturating_add(self.peer_calls)
     }
 
-    /// The most memory that the drafts here will take until `more` would have ended, and `more` too.
+    /// Returns the maximum memory, in tokens, that the completions here and an additional one,
+    /// `more`, take until `more` ends.
     #[must_use]
     pub fn peak_tokens(&self, more: Usage, now: Duration, growth: Growth) -> f64 {
         let all = self.own_usage.iter().chain(&self.peer_usage).copied();
         usage::peak_tokens(all.chain([more]), more.tokens_left(now, growth.rate), now, growth)
     }
 
-    /// It answered: it is there.
+    /// Records an answer, which shows that it is reachable.
     pub fn record_answer(&mut self, took: Duration) {
         self.record_accepted();
         self.avoided_until = Duration::ZERO;
@@ -133,11 +138,11 @@
             Some(mean.mul_f64(1.0 - ANSWER_TIME_WEIGHT) + took.mul_f64(ANSWER_TIME_WEIGHT));
     }
 
-    /// It has read a prompt that it should have read in `expected` seconds.
+    /// Records that it has read a prompt, which should have taken `expected` seconds.
     ///
-    /// Part of that time passes also at an idle endpoint, whatever the prompt's length. It is not a
-    /// queue: without telling the two apart, every endpoint would look slow, and prompts would go to
-    /// decode endpoints for nothing.
+    /// Some of the time passes also at an idle endpoint, whatever the prompt's length. That base
+    /// time is not queueing. If it were not kept apart, every endpoint would look slow, and prompts
+    /// would be sent to decode endpoints needlessly.
     pub fn record_prefill(&mut self, took: Duration, expected: f64) {
         self.failures = 0;
         let took = took.as_secs_f64();
@@ -149,15 +154,18 @@
         self.slowness = slowness.clamp(1.0, MAX_SLOWNESS);
     }
 
-    /// It took work.
+    /// Records that it has accepted work.
     pub fn record_accepted(&mut self) {
         self.refusals = 0;
         self.failures = 0;
     }
 
-    /// It refused work. One that is full has room again soon. One that goes on refusing leaves, or is
-    /// ill, and while the list can't be read nothing else says so: having nothing to do, it would be
-    /// the first choice for each draft. Others are told of it then.
+    /// Records that it has refused work, and avoids it for some time.
+    ///
+    /// A full endpoint has capacity again soon. An endpoint that continues to refuse is shutting
+    /// down or faulty, and while the list can't be read nothing else shows that: since it has no
+    /// load, it would be the first choice for every completion. So peers are told to avoid it after
+    /// some refusals.
     pub fn record_refusal(&mut self, now: Duration, tuning: &Tuning) {
         let time = tuning.avoid_full.saturating_mul(1 << self.refusals.min(8));
         let until = now + time.min(tuning.max_avoid_full);
@@ -168,28 +176,29 @@
         }
     }
 
-    /// It could not be reached, or did not answer in time. A dark endpoint stays listed for three
-    /// heartbeats; without this each call in that time would wait for it anew.
+    /// Records that it could not be reached or did not answer in time, and avoids it for some time.
+    /// An unreachable endpoint stays listed for three heartbeats; otherwise each call in that time
+    /// would wait for it again.
     pub fn record_failure(&mut self, now: Duration, tuning: &Tuning) {
         let time = tuning.avoid_unreachable.saturating_mul(1 << self.failures.min(8));
         self.failures += 1;
         self.avoid(now + time.min(tuning.max_avoid_unreachable));
     }
 
-    /// It answers again.
+    /// Records that it answers again after it was unreachable.
     pub fn record_recovery(&mut self) {
         self.failures = 0;
         self.avoided_until = Duration::ZERO;
         self.reported_until = Duration::ZERO;
     }
 
-    /// It refuses work until then, whoever asks.
+    /// Avoids it until `until`, and tells peers to do the same: it refuses work whoever sends it.
     pub fn avoid_and_report(&mut self, until: Duration) {
         self.avoid(until);
         self.reported_until = self.reported_until.max(until);
     }
 
-    /// It isn't used before `until`, unless there is nothing else.
+    /// Doesn't use it before `until`, unless there is no other endpoint.
     pub fn avoid(&mut self, until: Duration) {
         self.avoided_until = self.avoided_until.max(until);
     }
--- a/crates/basilbank_forward/src/state/freshness.rs
+++ b/crates/basilbank_forward/src/state/freshness.rs
@@ -1,56 +1,59 @@
-//! How long ago the configuration in force was the newest for certain.
+//! How recently the configuration in force was confirmed to be the newest.
 //!
-//! A key that is taken away must not open anything for longer than a bound, also at a daemon that can't
-//! read the store. Silence proves nothing, so the age counts from the moment at which a question went out
-//! whose answer showed no newer version. A daemon that rests on others' word asks those that watch the
-//! store; their answer counts from its own question, less the age that they tell.
+//! A revoked key must not give access for longer than a bound, also at a daemon that can't read the
+//! store. Silence confirms nothing, so the age of a confirmation counts from the moment at which
+//! the question was sent whose answer showed no newer version. A follower asks the watchers of the
+//! store; their answer counts from its own question, less the age that they report.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
 use super::State;
 
-/// Age from which on a daemon that rests on others' word asks one of them.
+/// Age of the confirmation from which on a follower asks a watcher.
 const ASK_AFTER_AGE: Duration = Duration::from_millis(1000);
 
-/// Time after which the next one is asked if the one before is silent.
+/// Time without an answer after which the next watcher is asked.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(250);
 
-/// Age from which on it reads the store itself.
+/// Age of the confirmation from which on a follower reads the store itself.
 const READ_AFTER_AGE: Duration = Duration::from_millis(2500);
 
-/// Questions whose answers count.
+/// Maximum number of questions whose answers are accepted.
 const MAX_OPEN_QUESTIONS: usize = 4;
 
-/// Longest time for which the store is let wait while a daemon has to know that it has the newest version.
+/// Maximum wait of a watch of the store while a daemon needs confirmation that it has the newest
+/// version.
 pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(1000);
 
-/// What this daemon knows of it.
+/// What this daemon knows about the age of its configuration.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    /// When the configuration in force was the newest for certain; none when nothing was read.
+    /// When the configuration in force was last known to be the newest; `None` when nothing was
+    /// read.
     pub confirmed_at: Option<Duration>,
-    /// Questions to peers whose answers count, the oldest first.
+    /// Questions to peers whose answers are accepted, the oldest first.
     questions: VecDeque<Question>,
-    /// Questions to peers so far.
+    /// Number of questions sent so far.
     sent: usize,
 }
 
 /// A question to a peer.
 #[derive(Clone, Copy, Debug)]
 struct Question {
-    /// Names it; not used again by another start of this daemon.
+    /// Identifies the question; another incarnation of this daemon doesn't reuse it.
     id: u64,
-    /// When it went out.
+    /// When it was sent.
     at: Duration,
 }
 
 impl Freshness {
-    /// The version in force was the newest at this moment.
+    /// Records that the version in force was the newest at this moment.
     pub fn confirm(&mut self, at: Duration) {
         self.confirmed_at = Some(self.confirmed_at.map_or(at, |known| known.max(at)));
     }
 
-    /// A peer has answered one of the questions: what was in force there was the newest so long before.
+    /// Records a peer's answer to the question `id`: the version in force there was confirmed to be
+    /// the newest `age` before.
     pub fn confirm_from_answer(&mut self, id: u64, age: Duration) {
         let question = self.questions.iter().find(|question| question.id == id);
         if let Some(at) = question.and_then(|question| question.at.checked_sub(age)) {
@@ -58,7 +61,7 @@
         }
     }
 
-    /// How old the proof is.
+    /// Returns the age of the confirmation.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.confirmed_at.map(|at| now.saturating_sub(at))
@@ -66,26 +69,29 @@
 }
 
 impl State {
-    /// Keys that the configuration in force has may be served: it was the newest within the bound.
+    /// Returns whether calls with the keys of the configuration in force may be served: it was
+    /// confirmed to be the newest within the bound.
     #[must_use]
     pub fn can_trust_keys(&self, now: Duration) -> bool {
         let Some(max_age) = self.tuning.max_confirmation_age else { return true };
         self.freshness.age(now).is_some_and(|age| age < max_age)
     }
 
-    /// Calls need keys, and a daemon must know that none of them was taken away.
+    /// Returns whether calls need keys and this daemon must know that none of them was revoked.
     #[must_use]
     pub fn needs_confirmation(&self) -> bool {
         self.tuning.max_confirmation_age.is_some() && self.routes.teams.is_some()
     }
 
-    /// The proof is so old that the store is to be read, whatever peers say.
+    /// Returns whether the confirmation is so old that this daemon has to read the store, whatever
+    /// peers report.
     #[must_use]
     pub fn is_confirmation_old(&self, now: Duration) -> bool {
         self.needs_confirmation() && self.freshness.age(now).is_none_or(|age| READ_AFTER_AGE <= age)
     }
 
-    /// When a peer is to be asked for a proof; none if this daemon reads the store itself.
+    /// Returns when a peer has to be asked for a confirmation; `None` if this daemon reads the
+    /// store itself.
     pub(crate) fn confirmation_due(&self) -> Option<Duration> {
         if !self.needs_confirmation() || !self.follow_state().follows {
             return None;
@@ -96,7 +102,8 @@
         Some(old.max(again))
     }
 
-    /// The peer to ask now, each of those that watch the store in turn, and what the question is named.
+    /// Returns the peer to ask for a confirmation now and the id of the question, and records the
+    /// question. The watchers of the store are asked in turn.
     pub(crate) fn next_confirmation_request(&mut self, now: Duration) -> Option<(SocketAddr, u64)> {
         let watching = self.peers.known.iter().filter(|(_, peer)| peer.watching && !peer.leaving);
         let mut watching: Vec<_> = watching.map(|(at, _)| *at).collect();
--- a/crates/basilbank_forward/src/state/generation.rs
+++ b/crates/basilbank_forward/src/state/generation.rs
@@ -1,34 +1,36 @@
-//! How fast endpoints of a service generate.
+//! Measurements of how fast the endpoints of a service generate.
 
 use std::time::Duration;
 
-/// Drafts after which a measurement counts half: a change of the traffic or of the engines shows
-/// after some tens of drafts of the whole fleet.
+/// Number of completions after which the weight of a measurement is halved. A change of the traffic
+/// or of the engines shows after some tens of completions of the whole fleet.
 const HALF_LIFE_COMPLETIONS: f64 = 16.0;
 
-/// Bounds of a believable pace, in tokens a second for one draft: a large model on a full engine, and a
-/// small one alone. A pace beyond them says that the estimates or the clock are wrong.
+/// Minimum and maximum plausible rate of one completion: those of a large model on a full engine,
+/// and of a small model alone on one. A rate outside of them means that the estimates or the clock
+/// are wrong.
 const PLAUSIBLE_TOKENS_PER_SECOND: (f64, f64) = (1.0, 100_000.0);
 
-/// What is assumed of the estimates until drafts have ended: they are often far off.
+/// Relative error of the estimates that is assumed until completions have ended: estimates are
+/// often far off.
 const INITIAL_RELATIVE_ERROR: f64 = 0.5;
 
-/// Tokens that were generated, and the seconds that it took, newer drafts counting more.
+/// Sums over completed generations, in which newer ones have more weight.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct GenerationStats {
-    /// Tokens by the callers' estimates.
+    /// Generated tokens, by the callers' estimates.
     pub tokens: f64,
     /// Seconds from the first token to the end.
     pub seconds: f64,
-    /// Squares of the estimates that could be compared with what was generated.
+    /// Squares of the estimates that could be compared with the generated length.
     pub squared_estimates: f64,
-    /// Squares of what these were wrong by.
+    /// Squares of the errors of these estimates.
     pub squared_errors: f64,
 }
 
 impl GenerationStats {
-    /// Takes a draft in that has ended, at so many tokens a second by what was known before; zero when
-    /// nothing was.
+    /// Records a completion that has ended. `tokens` is the caller's estimate, and `rate` the
+    /// number of tokens per second that was known before; zero when none was.
     pub fn record(&mut self, tokens: u32, took: Duration, rate: f64) {
         let keep = 0.5_f64.powf(1.0 / HALF_LIFE_COMPLETIONS);
         let (tokens, took) = (f64::from(tokens), took.as_secs_f64());
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Both together; what makes no sense is left out.
+    /// Returns the sums of both. Invalid values of `other` are ignored.
     #[must_use]
     pub fn merge(self, other: GenerationStats) -> GenerationStats {
         let is_valid = |value: f64| value.is_finite() && 0.0 <= value;
@@ -57,7 +59,7 @@
         }
     }
 
-    /// How far estimates are off, as a part of them.
+    /// Returns the error of the estimates as a fraction of them.
     #[must_use]
     pub fn relative_error(&self) -> f64 {
         let is_known = 0.0 < self.squared_estimates;
@@ -69,8 +71,8 @@
         error.min(1.0)
     }
 
-    /// Tokens a second for one draft; zero until one has ended, so that drafts count as if they had
-    /// just begun.
+    /// Returns the number of tokens per second of one completion. It is zero until a completion has
+    /// ended, so that all completions count as if they had just started.
     #[must_use]
     pub fn tokens_per_second(&self) -> f64 {
         if self.seconds <= 0.0 {
--- a/crates/basilbank_forward/src/state/local.rs
+++ b/crates/basilbank_forward/src/state/local.rs
@@ -1,61 +1,63 @@
-//! Who a daemon is, and whether it stays.
+//! The identity of a daemon, and its shutdown.
 
 use std::{net::SocketAddr, time::Duration};
 
-/// Which start of the system a daemon's start belongs to.
+/// The start of the whole system to which a daemon's start belongs.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum SystemStart {
-    /// The whole system starts for the first time.
+    /// The system starts for the first time.
     #[default]
     First,
-    /// It has run before.
+    /// The system has run before.
     Restart,
 }
 
-/// The daemon shuts down.
+/// A daemon's shutdown in progress.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Leaving {
-    /// When the signal came.
+    /// When the signal was received.
     pub since: Duration,
-    /// When what is still in progress is cut.
+    /// When calls that are still in progress are cut off.
     pub until: Duration,
 }
 
-/// Time after which callers no longer come to a daemon that leaves but over connections that were
-/// opened before: the balancer asks once a second, and takes it out after two answers other than 200.
+/// Time after which callers reach a daemon that shuts down only over connections that are already
+/// open: the load balancer sends a health check every second, and removes the daemon after two
+/// answers other than 200.
 const BALANCER_REACTION_TIME: Duration = Duration::from_millis(2500);
 
 impl Leaving {
-    /// A call that may last until `deadline` isn't taken: it may be cut, and another daemon takes it when
-    /// its caller comes back. While the balancer still sends callers here, they would probably come back
-    /// here; most calls end long before their deadline, so they are taken then.
+    /// Returns whether a call that may last until `deadline` is refused. The call might be cut off,
+    /// and another daemon serves it when its caller retries. While the load balancer still sends
+    /// callers here, a retry would probably arrive here again; most calls end long before their
+    /// deadline, so they are accepted then.
     #[must_use]
     pub fn refuses(&self, now: Duration, deadline: Duration) -> bool {
         self.since + BALANCER_REACTION_TIME <= now && self.until < deadline
     }
 }
 
-/// Who this daemon is.
+/// The identity of this daemon.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Local {
     /// Its name.
     pub name: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Seed of its random choices.
+    /// The seed of its random choices.
     pub seed: u64,
-    /// Its process's start, milliseconds since the Unix epoch.
+    /// The start time of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Which start of the system this is.
+    /// The start of the whole system to which its start belongs.
     pub start: SystemStart,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: Option<SocketAddr>,
     /// Addresses at which peers may be found.
     pub seeds: Vec<SocketAddr>,
 }
 
 impl Local {
-    /// With a name; the seed follows from it.
+    /// Sets the name, from which the seed is derived.
     #[must_use]
     pub fn with_name(mut self, name: &str) -> Local {
         name.clone_into(&mut self.name);
@@ -63,7 +65,7 @@
         self
     }
 
-    /// With its process's start; random choices follow from it.
+    /// Sets the start time of the process, from which the seed is derived as well.
     #[must_use]
     pub fn with_incarnation(mut self, incarnation: u64) -> Local {
         self.incarnation = incarnation;
@@ -71,28 +73,28 @@
         self
     }
 
-    /// With the start of the system that this one belongs to.
+    /// Sets the start of the whole system to which this start belongs.
     #[must_use]
     pub fn with_start(mut self, start: SystemStart) -> Local {
         self.start = start;
         self
     }
 
-    /// With the address at which its peers reach it.
+    /// Sets the address at which peers reach this daemon.
     #[must_use]
     pub fn with_address(mut self, address: SocketAddr) -> Local {
         self.address = Some(address);
         self
     }
 
-    /// With addresses at which peers may be found.
+    /// Sets the addresses at which peers may be found.
     #[must_use]
     pub fn with_seeds(mut self, seeds: Vec<SocketAddr>) -> Local {
         self.seeds = seeds;
         self
     }
 
-    /// With a data centre.
+    /// Sets the data centre.
     #[must_use]
     pub fn with_data_centre(mut self, name: &str) -> Local {
         name.clone_into(&mut self.data_centre);
--- a/crates/basilbank_forward/src/state/owned_quotas.rs
+++ b/crates/basilbank_forward/src/state/owned_quotas.rs
@@ -1,8 +1,9 @@
-//! Quotas that this daemon counts for all.
+//! Quotas that this daemon owns, and so counts for all daemons.
 //!
-//! One daemon, the same for all who hear each other, counts a team's quota: a token bucket from which the
-//! others take by telling what they took. While there is plenty requests are taken first and told within
-//! milliseconds; when the bucket runs low all daemons are told to ask before.
+//! Daemons that are in contact agree on one owner for each team's quota. The owner keeps a token
+//! bucket, and the other daemons take from it by reporting what they took. While the bucket is well
+//! filled, requests are let through first and reported within milliseconds. When it runs low, the
+//! owner tells all daemons to ask before they let requests through.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -11,33 +12,34 @@
 
 use crate::team::{Quota, TeamId};
 
-/// Seconds of a quota's rate by which the bucket may be overdrawn before a request is refused. Requests come
-/// in clumps; the next moment's rate pays for them.
+/// Amount by which the bucket may be overdrawn before requests are refused, in seconds of the
+/// quota's rate. Requests arrive in bursts; the rate of the following moments makes up for them.
 const OVERDRAFT_SECONDS: f64 = 0.15;
 
-/// Part of a full bucket below which requests have to ask: more than a surge takes until all have heard.
+/// Fraction of a full bucket below which requests have to ask: more than a surge takes until all
+/// daemons have been told.
 const LOW_FRACTION: f64 = 0.3;
 
-/// Part above which they needn't any more.
+/// Fraction of a full bucket above which requests needn't ask any more.
 const PLENTY_FRACTION: f64 = 0.5;
 
-/// How long a word to all holds that they have to ask.
+/// Time for which daemons ask after the owner has told them to.
 pub const ASK_PERIOD: Duration = Duration::from_millis(2500);
 
-/// When it is said again.
+/// Interval at which the owner of a low bucket tells all daemons again to ask.
 const ASK_REPEAT_INTERVAL: Duration = Duration::from_millis(1200);
 
-/// What is in the bucket of a quota that this daemon begins to count, as a part of a full one: another one
-/// counted before, and part of the burst is used.
+/// Level at which the bucket of a newly owned quota starts, as a fraction of a full one: another
+/// daemon owned the quota before, and part of the burst is used.
 const INITIAL_FRACTION: f64 = 0.25;
 
-/// How long a daemon that told counts as one that uses the quota.
+/// Time after its last report for which a daemon counts as using a quota.
 const ACTIVE_PERIOD: Duration = Duration::from_secs(2);
 
-/// A quota of which nobody told anything for this long is forgotten.
+/// Time without reports after which a quota is forgotten.
 const IDLE_EXPIRY: Duration = Duration::from_secs(60);
 
-/// All of them.
+/// The quotas that this daemon owns.
 #[derive(Debug, Default)]
 pub struct OwnedQuotas {
     quotas: HashMap<TeamId, OwnedQuota>,
@@ -47,30 +49,31 @@
 #[derive(Debug)]
 struct OwnedQuota {
     bucket: Bucket,
-    /// What was counted of each daemon.
+    /// The last sum that was counted for each daemon.
     reports: HashMap<SocketAddr, Report>,
-    /// Requests have to ask.
+    /// Whether requests have to ask.
     is_low: bool,
-    /// When all were told so.
+    /// When all daemons were last told to ask.
     ask_sent: Duration,
     last_used: Duration,
 }
 
-/// What a daemon has told.
+/// The last sum that a daemon has reported.
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    /// Its process's start.
+    /// The incarnation of the daemon.
     incarnation: u64,
     sum: QuotaCounted,
     at: Duration,
 }
 
-/// What this daemon may give of a quota: all of it, or a part while it doesn't hear all daemons.
+/// The amount that this daemon may give out of a quota: all of it, or a fraction while it isn't in
+/// contact with all daemons.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// The whole.
+    /// The whole quota.
     pub quota: Quota,
-    /// The part.
+    /// The fraction of it.
     pub fraction: f64,
 }
 
@@ -79,24 +82,25 @@
         self.quota.rate * self.fraction
     }
 
-    /// A full bucket: one that holds less than the overdraft would be low all the time.
+    /// Returns the level of a full bucket. One that holds less than the overdraft would be low all
+    /// the time.
     fn bucket_size(&self) -> f64 {
         (self.quota.burst * self.fraction).max(self.rate() * OVERDRAFT_SECONDS)
     }
 }
 
-/// What a daemon that told of its use, or asked, is answered.
+/// The answer to a request for a part of a quota.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Answer {
-    /// There is room, and what was asked for is taken.
+    /// The quota has room, and the requested amount is counted.
     Granted,
-    /// There is room after this time.
+    /// The quota has room after this time.
     Full(Duration),
 }
 
 impl OwnedQuotas {
-    /// Takes in what a daemon's callers have taken. Its incarnation tells a sum from that of the process
-    /// before.
+    /// Counts the sum that a daemon reports for its callers. `from` is the daemon's address and
+    /// incarnation; the incarnation distinguishes its sum from that of the process before.
     pub fn apply_report(
         &mut self,
         team: TeamId,
@@ -117,14 +121,14 @@
         owned.reports.insert(address, Report { incarnation, sum, at: now });
     }
 
-    /// Takes what this daemon's own callers have taken.
+    /// Counts what this daemon's own callers have taken.
     pub fn take(&mut self, team: TeamId, allowance: &Allowance, amount: i64, now: Duration) {
         let owned = self.owned_quota(team, allowance, now);
         owned.last_used = now;
         owned.bucket.level -= amount as f64;
     }
 
-    /// A request asks for its part.
+    /// Answers a request for a part of the quota, and counts the amount if it is granted.
     pub fn request(
         &mut self,
         team: TeamId,
@@ -143,7 +147,7 @@
         Answer::Full(Duration::try_from_secs_f64(lacking).unwrap_or(IDLE_EXPIRY).min(IDLE_EXPIRY))
     }
 
-    /// Requests of a team have to ask before they are taken.
+    /// Updates and returns whether the bucket is low, so that requests of the team have to ask.
     pub fn check_low(&mut self, team: TeamId, allowance: &Allowance, now: Duration) -> bool {
         let owned = self.owned_quota(team, allowance, now);
         let fraction = owned.bucket.level / allowance.bucket_size();
@@ -151,7 +155,8 @@
         owned.is_low
     }
 
-    /// All daemons are to be told now that requests of a team whose bucket is low have to ask.
+    /// Returns whether all daemons have to be told now that requests of a team with a low bucket
+    /// have to ask, and counts this as done.
     pub fn take_ask_due(&mut self, team: TeamId, now: Duration) -> bool {
         let Some(owned) = self.quotas.get_mut(&team) else { return false };
         let due = owned.ask_sent + ASK_REPEAT_INTERVAL <= now;
@@ -161,14 +166,14 @@
         due
     }
 
-    /// Daemons that have told of a team's quota lately.
+    /// Returns the number of daemons that have recently reported use of a team's quota.
     #[must_use]
     pub fn active_daemons(&self, team: TeamId, now: Duration) -> usize {
         let Some(owned) = self.quotas.get(&team) else { return 0 };
         owned.reports.values().filter(|report| now < report.at + ACTIVE_PERIOD).count()
     }
 
-    /// Forgets what is over.
+    /// Forgets quotas that are no longer used.
     pub fn expire(&mut self, now: Duration) {
         self.quotas.retain(|_, owned| now < owned.last_used + IDLE_EXPIRY);
     }
--- a/crates/basilbank_forward/src/state/owner.rs
+++ b/crates/basilbank_forward/src/state/owner.rs
@@ -1,4 +1,4 @@
-//! Which daemon does a thing that one must do for all.
+//! Selects the daemon that owns a subject, by rendezvous hashing.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,12 @@
 use super::{State, peers::to_wire};
 
 impl State {
-    /// The peer that does a thing, named by a number, for all; `None` when this daemon does.
+    /// Returns the peer that owns a subject, or `None` when this daemon does. `subject` is a hash
+    /// that identifies it.
     ///
-    /// It is the one with the highest hash of all that are heard and may do it, so nobody has to be asked,
-    /// and a daemon that comes or goes changes it for few things.
+    /// The owner is the daemon with the highest hash among all known daemons that are eligible. So
+    /// daemons needn't ask each other, and when a daemon comes or goes, only few subjects get
+    /// another owner.
     #[must_use]
     pub fn remote_owner(
         &self,
--- a/crates/basilbank_forward/src/state/peers.rs
+++ b/crates/basilbank_forward/src/state/peers.rs
@@ -1,4 +1,4 @@
-//! The other daemons, and what they have at endpoints.
+//! The other daemons, and their load at endpoints.
 
 use std::{
     collections::HashMap,
@@ -14,99 +14,104 @@
     topic::{PerTopic, Revision},
 };
 
-/// One other daemon.
+/// What is known of another daemon.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its process's start.
+    /// The start time of its process.
     pub incarnation: u64,
-    /// Its last datagram.
+    /// The sequence number of its last datagram.
     pub sequence: u64,
-    /// When that came.
+    /// When its last datagram arrived.
     pub last_seen: Duration,
-    /// What it has at endpoints.
+    /// Its load at endpoints.
     pub loads: Vec<Load>,
-    /// When the first of its waiting drafts is due, by hashes of the services' names.
+    /// When the first of its waiting completions is due, by the hash of the service's name.
     pub waiting: Vec<(u32, Duration)>,
-    /// The configuration's version that it has in force; 0 while it hasn't said.
+    /// The version of the configuration that it has in force; 0 until it has reported one.
     pub version: u64,
-    /// It watches the store for others, and the store answers it.
+    /// Whether it watches the store for other daemons and the store answers it.
     pub watching: bool,
-    /// It shuts down.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// How fast its drafts were generated, by hashes of the services' names.
+    /// The generation speed of its completions, by the hash of the service's name.
     pub generation_stats: Vec<(u32, GenerationStats)>,
 }
 
-/// What a peer has at an endpoint.
+/// A peer's load at an endpoint.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Load {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// What its calls take there.
+    /// The usage of its calls there.
     pub usage: Usage,
 }
 
-/// All of them, and this daemon's own datagrams.
+/// The other daemons, and the state of this daemon's own datagrams.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// This daemon's own address, which peers may name to it.
+    /// This daemon's own address, which peers may include among the addresses that they send.
     pub own_address: Option<SocketAddr>,
-    /// By address.
+    /// The known peers by address.
     pub known: HashMap<SocketAddr, Peer>,
-    /// Addresses that were named by settings or peers, and from which nothing has come yet; with
-    /// the time until which they are tried.
+    /// Addresses that peers have sent and from which nothing has arrived yet, with the time until
+    /// which they are tried.
     pub candidates: HashMap<SocketAddr, Duration>,
-    /// Addresses of the settings. They are tried for ever: a daemon that was cut off finds the
-    /// others again through them.
+    /// Addresses from the settings. They are tried forever, so that a daemon that lost contact
+    /// finds the others again.
     pub seeds: Vec<SocketAddr>,
-    /// The most peers that were known at once.
+    /// Maximum number of peers that were known at once.
     pub peak_count: usize,
-    /// Daemons that there are, this one included: the most that were known at once, less those that have left
-    /// by themselves. Those that fell silent may be cut off, and serve callers.
+    /// Number of daemons in the fleet, including this one: the maximum number that were known at
+    /// once, less those that have shut down. Daemons that fell silent may only be disconnected and
+    /// still serve callers.
     pub fleet_size: usize,
-    /// A daemon that started long before this one has told how many there are.
+    /// Whether a daemon that started long before this one has reported the fleet's size.
     pub fleet_reported: bool,
-    /// How often one that watched the store has said that it doesn't see it any more.
+    /// Number of times that a watcher has reported that it lost the store.
     pub watcher_losses: u32,
-    /// The time of the last turn: the age of peers' words is counted until then.
+    /// The time of the current reducer step, against which the age of peers' reports is measured.
     pub now: Duration,
-    /// This daemon has said that it watches the store for others.
+    /// Whether this daemon has reported that it watches the store for other daemons.
     pub watching: bool,
-    /// This process's start.
+    /// The start time of this process.
     pub incarnation: u64,
-    /// The last datagram that was sent.
+    /// The sequence number of the last datagram that was sent.
     pub sequence: u64,
-    /// When the last heartbeat was sent: a datagram that tells everything.
+    /// When the last heartbeat, a datagram with the full state, was sent.
     pub heartbeat_sent: Duration,
-    /// Bytes that it took on the wire.
+    /// Size of the last heartbeat on the wire, in bytes.
     pub heartbeat_bytes: usize,
-    /// The news that it told.
+    /// The latest changes that the last heartbeat reported.
     pub sent_changes: PerTopic<Revision>,
-    /// Until then the bytes that were sent take what peers may receive.
+    /// Until when the bytes sent so far use up what peers may receive from this daemon.
     pub bandwidth_used_until: Duration,
-    /// When it was sent.
+    /// When the last datagram was sent.
     pub last_sent: Duration,
-    /// When addresses were last tried from which nothing has come.
+    /// When addresses from which nothing has arrived were last tried.
     pub last_probe: Duration,
-    /// What this daemon has at endpoints has changed since.
+    /// Whether there are changes that no datagram has reported yet, such as those of this daemon's
+    /// load at endpoints.
     pub changed: bool,
-    /// Since when, as far as a turn of the reducer tells.
+    /// When a step of the reducer first noticed such changes.
     pub changed_since: Option<Duration>,
-    /// It has taken room at an endpoint since.
+    /// Whether one of these changes is urgent, such as capacity that this daemon has taken at an
+    /// endpoint.
     pub urgent: bool,
-    /// How long a change of this daemon's stays untold, on average; peers tell theirs as late.
+    /// Mean time for which a change of this daemon stays unreported. Peers report theirs with the
+    /// same delay.
     pub report_delay: Duration,
 }
 
-/// Beyond this many peers what a daemon receives a second is bounded, whatever there is to tell.
+/// Maximum number of peers up to which the bytes per second that a daemon receives are not limited.
 pub const MAX_PEERS_UNLIMITED_GOSSIP: usize = 80;
 
-/// Weight of a new delay in the mean of [`Peers::report_delay`]: some ten datagrams.
+/// Weight of a new delay in [`Peers::report_delay`]: the mean covers some ten datagrams.
 const DELAY_WEIGHT: f64 = 0.1;
 
 impl Peers {
-    /// A peer is heard, and tells how many daemons there are. One that has met them before knows better than
-    /// a daemon that has just started.
+    /// Updates the fleet's size after a datagram from a peer, which reports its own count in
+    /// `reported`. A peer that has met the others before knows the size better than a daemon that
+    /// has just started.
     pub fn update_fleet_size(&mut self, reported: u32, is_older: bool) {
         if is_older && reported != 0 && !std::mem::replace(&mut self.fleet_reported, true) {
             self.fleet_size = self.fleet_size.max(usize::try_from(reported).unwrap_or_default());
@@ -114,7 +119,7 @@
         self.fleet_size = self.fleet_size.max(self.known.len() + 1);
     }
 
-    /// All that are known, in order.
+    /// Returns the addresses of all known peers, sorted.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let mut all: Vec<_> = self.known.keys().copied().collect();
@@ -122,18 +127,18 @@
         all
     }
 
-    /// There is something that peers hear of with the next datagram.
+    /// Records an urgent change, which the next datagram reports.
     pub fn report_soon(&mut self) {
         self.changed = true;
         self.urgent = true;
     }
 
-    /// Changes that there are now are told.
+    /// Records that a datagram reports all changes so far.
     pub fn record_report(&mut self, now: Duration) {
         self.changed = false;
         self.urgent = false;
         if let Some(since) = self.changed_since.take() {
-            // The first of them waited for all of that time, the last for none of it.
+            // The first change waited for all of that time, the last one for none of it.
             let delay = now.saturating_sub(since) / 2;
             self.report_delay =
                 self.report_delay.mul_f64(1.0 - DELAY_WEIGHT) + delay.mul_f64(DELAY_WEIGHT);
@@ -141,14 +146,14 @@
     }
 }
 
-/// The address as peers tell it to each other; `None` for anything but IPv4.
+/// Returns the wire format of an address; `None` for anything but IPv4.
 #[must_use]
 pub fn to_wire(address: &SocketAddr) -> Option<PeerAddress> {
     let SocketAddr::V4(v4) = address else { return None };
     Some(PeerAddress { ip: v4.ip().to_bits(), port: u32::from(v4.port()) })
 }
 
-/// The address that a peer told; `None` for a port that there can't be.
+/// Returns the address that a peer has sent; `None` if the port is out of range.
 #[must_use]
 pub fn from_wire(address: PeerAddress) -> Option<SocketAddr> {
     let port = u16::try_from(address.port).ok()?;
--- a/crates/basilbank_forward/src/state/permit_holder.rs
+++ b/crates/basilbank_forward/src/state/permit_holder.rs
@@ -1,57 +1,59 @@
-//! Permits that this daemon has, or has asked for, to send calls to endpoints with a limit.
+//! Permits that this daemon holds or has requested, to send calls to endpoints with a call limit.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{call::RequestId, endpoint::EndpointKey};
 
-/// How long a permit can be used: what is not used in this time may come on top of what is given then.
+/// Time for which a permit is valid. A permit that is used later would add a call to those that are
+/// permitted by then.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// A question that has no answer after this is lost: some round trips.
+/// Time after which an unanswered request counts as lost: some round trips.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause for each peer after a permit would take too long: the one who gives them out is asked 250
-/// times a second at the most, however many calls come to however many daemons.
+/// Pause, per peer, after a permit would have taken too long. It limits the requests to an issuer
+/// to 250 per second, however many calls arrive at however many daemons.
 const PAUSE_PER_PEER: Duration = Duration::from_millis(4);
 
-/// How much longer than expected a permit is waited for.
+/// Time for which a permit is awaited beyond the expected time.
 const MAX_PERMIT_DELAY: Duration = Duration::from_millis(200);
 
-/// All of them.
+/// The permits of all endpoints, and the calls that wait for one.
 #[derive(Debug, Default)]
 pub struct PermitHolder {
     permits: BTreeMap<EndpointKey, PermitState>,
-    /// Calls that wait for a permit, the first one first.
+    /// Calls that wait for a permit, in order of arrival.
     pub waiting: Vec<RequestId>,
 }
 
+/// The permit of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct PermitState {
-    /// A permit that can be used until then.
+    /// Until when the permit can be used, if there is one.
     valid_until: Duration,
-    /// One was asked for, and may come until then.
+    /// Until when a requested permit may arrive.
     requested_until: Duration,
-    /// There is none before then for anybody who asks.
+    /// Until when no requester gets a permit.
     unavailable_until: Duration,
-    /// The longest wait that was asked for.
+    /// The maximum wait that was requested.
     max_wait: Duration,
 }
 
 impl PermitHolder {
-    /// There is a permit for the endpoint.
+    /// Returns whether there is a permit for the endpoint.
     #[must_use]
     pub fn has_permit(&self, endpoint: EndpointKey, now: Duration) -> bool {
         self.permits.get(&endpoint).is_some_and(|permit| now < permit.valid_until)
     }
 
-    /// Uses the permit.
+    /// Uses up the endpoint's permit.
     pub fn use_permit(&mut self, endpoint: EndpointKey) {
         if let Some(permit) = self.permits.get_mut(&endpoint) {
             permit.valid_until = Duration::ZERO;
         }
     }
 
-    /// How many of these endpoints' permits may come.
+    /// Returns the number of these endpoints for which a requested permit may still arrive.
     #[must_use]
     pub fn requested(&self, endpoints: &[EndpointKey], now: Duration) -> usize {
         endpoints
@@ -60,22 +62,24 @@
             .count()
     }
 
-    /// The endpoint may have a permit for whoever asks.
+    /// Returns whether a permit can be requested for the endpoint: none is awaited, and one may be
+    /// available.
     #[must_use]
     pub fn can_request(&self, endpoint: EndpointKey, now: Duration) -> bool {
         self.get(endpoint)
             .is_none_or(|permit| permit.requested_until <= now && permit.unavailable_until <= now)
     }
 
-    /// One is asked for that may take so long.
+    /// Records a request for a permit with this maximum wait.
     pub fn record_request(&mut self, endpoint: EndpointKey, max_wait: Duration, now: Duration) {
         let permit = self.permits.entry(endpoint).or_default();
         permit.requested_until = now + REQUEST_TIMEOUT;
         permit.max_wait = max_wait;
     }
 
-    /// A permit takes so long. It is waited for, unless it takes too long; then none is asked for while so
-    /// many peers do.
+    /// Applies the issuer's answer that a permit takes `wait`. The permit is awaited, unless that
+    /// exceeds the maximum wait; then none is requested for a pause that grows with the number of
+    /// peers, which request permits as well.
     pub fn apply_wait(
         &mut self,
         endpoint: EndpointKey,
@@ -94,13 +98,13 @@
         }
     }
 
-    /// A permit has come.
+    /// Records that a permit has arrived.
     pub fn record_grant(&mut self, endpoint: EndpointKey, now: Duration) {
         let permit = self.permits.entry(endpoint).or_default();
         *permit = PermitState { valid_until: now + PERMIT_LIFETIME, ..PermitState::default() };
     }
 
-    /// When one of these endpoints may have a permit for whoever asks.
+    /// Returns when one of these endpoints may have a permit available.
     #[must_use]
     pub fn available_at(&self, endpoints: &[EndpointKey]) -> Duration {
         let unavailable =
@@ -108,7 +112,7 @@
         unavailable.map(Option::unwrap_or_default).min().unwrap_or_default()
     }
 
-    /// The endpoint is gone, or takes as many calls as come.
+    /// Forgets the permit of an endpoint that was removed or has no limit any more.
     pub fn remove(&mut self, endpoint: EndpointKey) {
         self.permits.remove(&endpoint);
     }
--- a/crates/basilbank_forward/src/state/permit_issuer.rs
+++ b/crates/basilbank_forward/src/state/permit_issuer.rs
@@ -1,8 +1,9 @@
-//! Permits that this daemon gives out, for endpoints with a limit.
+//! Permits that this daemon issues, for endpoints with a call limit.
 //!
-//! One daemon, picked from all that are heard by each endpoint's name, gives out what the endpoint takes: one
-//! permit a call. Shares of the limit would not do: with hundreds of daemons a share is less than a call in a
-//! minute, and a daemon that saved it up would have it beside all others that did.
+//! One daemon, chosen among all known daemons by the endpoint's hash, issues permits up to the
+//! endpoint's limit: one permit per call. Dividing the limit into shares would not work: with
+//! hundreds of daemons a share is less than one call per minute, and if daemons accumulated their
+//! shares, many could use them at the same time.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,30 +13,32 @@
 
 use crate::endpoint::EndpointKey;
 
-/// Part of an endpoint's limit that is given out. The rest covers permits that are used later than they were
-/// given, and a second daemon that takes itself for the one that gives them for a moment.
+/// Fraction of an endpoint's limit for which permits are issued. The rest covers permits that are
+/// used later than they were issued, and a second daemon that briefly considers itself the issuer.
 const ISSUED_FRACTION: f64 = 0.9;
 
-/// Permits a second that are given out at least: an endpoint that takes none has to be asked now and then,
-/// or nobody would learn that it takes calls again.
+/// Minimum rate of permits. An endpoint that takes no calls has to be asked from time to time, or
+/// nobody would learn that it takes calls again.
 const MIN_PERMITS_PER_SECOND: f64 = 0.25;
 
-/// Seconds of its rate that may be given out at once.
+/// Permits that may be issued at once, in seconds of the endpoint's rate.
 const BURST_SECONDS: f64 = 0.25;
 
-/// Before a daemon gives out the first permit: the one that gave them before it has heard of it by then.
+/// Time before a new issuer issues its first permit. By then the former issuer knows about the new
+/// one.
 const FIRST_PERMIT_DELAY: Duration = Duration::from_secs(1);
 
-/// How much longer than it bears a daemon stands in line: the datagrams' way.
+/// Time that a daemon stays queued beyond its maximum wait, which covers the transit of the
+/// datagrams.
 const QUEUE_GRACE: Duration = Duration::from_millis(100);
 
-/// All that is given out here.
+/// The endpoints for which this daemon issues permits.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
     endpoints: BTreeMap<EndpointKey, EndpointPermits>,
 }
 
-/// Who asks for a permit.
+/// A daemon that requests a permit.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Requester {
     /// This daemon.
@@ -44,23 +47,24 @@
     Peer(SocketAddr),
 }
 
-/// One endpoint's permits.
+/// The permits of one endpoint.
 #[derive(Debug)]
 struct EndpointPermits {
-    /// Permits a second.
+    /// Permits per second.
     rate: f64,
-    /// Permits that there are at `counted`.
+    /// Number of available permits at `updated`.
     available: f64,
     updated: Duration,
+    /// Daemons that wait for a permit, and until when.
     queue: VecDeque<(Requester, Duration)>,
 }
 
 impl PermitIssuer {
-    /// Somebody asks for a permit, and waits for it unless that takes longer than it bears. Returns how long
-    /// it takes.
+    /// Handles a request for a permit and returns the time until the permit is issued. The
+    /// requester is queued unless that exceeds its maximum wait.
     ///
-    /// So those who stand in line have calls that are still there when the permit comes. A line of all who
-    /// ever asked would give most permits to daemons whose callers have left.
+    /// So the daemons in the queue have calls that still wait when the permit arrives. A queue of
+    /// all requesters would give most permits to daemons whose callers have left.
     pub fn request(
         &mut self,
         endpoint: EndpointKey,
@@ -89,7 +93,7 @@
         wait
     }
 
-    /// The next permit that can be given by now: for which endpoint, and to whom.
+    /// Takes the next permit that can be issued by now, and returns its endpoint and its receiver.
     pub fn issue(&mut self, now: Duration) -> Option<(EndpointKey, Requester)> {
         for (key, permits) in &mut self.endpoints {
             permits.refill(now);
@@ -105,7 +109,7 @@
         None
     }
 
-    /// When the next permit can be given.
+    /// Returns when the next permit can be issued.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
         self.endpoints
@@ -115,12 +119,13 @@
             .min()
     }
 
-    /// Another daemon gives out the endpoint's permits, or it takes as many calls as come.
+    /// Stops issuing an endpoint's permits: another daemon does, or the endpoint has no limit any
+    /// more.
     pub fn stop(&mut self, endpoint: EndpointKey) {
         self.endpoints.remove(&endpoint);
     }
 
-    /// The endpoints whose permits are given out here.
+    /// Returns the endpoints for which this daemon issues permits.
     pub fn endpoints(&self) -> impl Iterator<Item = EndpointKey> {
         self.endpoints.keys().copied()
     }
@@ -139,7 +144,7 @@
         self.available = (self.available + time.as_secs_f64() * self.rate).min(max);
     }
 
-    /// How long it takes until the one at this place in the line has its permit.
+    /// Returns the time until the requester at this position in the queue gets its permit.
     fn wait(&self, position: usize) -> Duration {
         let missing = (position + 1) as f64 - self.available;
         Duration::from_secs_f64(missing.max(0.0) / self.rate)
@@ -147,7 +152,7 @@
 
     fn due(&self) -> Duration {
         let missing = (1.0 - self.available).max(0.0);
-        // Rounded up: a tick a moment too early would find no permit.
+        // Rounded up, because a tick slightly too early would find no permit.
         self.updated + Duration::from_secs_f64(missing / self.rate) + Duration::from_micros(1)
     }
 }
--- a/crates/basilbank_forward/src/state/quarantine.rs
+++ b/crates/basilbank_forward/src/state/quarantine.rs
@@ -6,21 +6,22 @@
 
 use crate::call::Digest;
 
-/// How long a call stays here after it came last. One that still comes is still deadly, as far as anybody
-/// knows; finding out would cost endpoints.
+/// Time for which a call stays in quarantine after it last arrived. A call that is still being sent
+/// must be assumed to still crash endpoints; trying it out would cost endpoints.
 const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
 
-/// Calls that are kept; beyond it the one that would leave first goes.
+/// Maximum number of calls in quarantine. Beyond it, the one that would be released first is
+/// removed.
 const MAX_CALLS: usize = 512;
 
-/// Datagrams that carry each new one, besides heartbeats.
+/// Number of datagrams that report each new call, in addition to heartbeats.
 const REPETITIONS: u8 = 3;
 
-/// All of them.
+/// The calls in quarantine.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     calls: BTreeMap<Digest, Entry>,
-    /// The one that was told last; heartbeats tell them in turn.
+    /// The call that a heartbeat reported last; heartbeats report all calls in turn.
     last_reported: Digest,
 }
 
@@ -31,31 +32,31 @@
 }
 
 impl Quarantine {
-    /// How many there are.
+    /// Returns the number of calls in quarantine.
     #[must_use]
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// There are none.
+    /// Returns whether no call is in quarantine.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// For how much longer a call is here.
+    /// Returns the time for which a call remains in quarantine, if it is there.
     #[must_use]
     pub fn time_left(&self, digest: Digest, now: Duration) -> Option<Duration> {
         let entry = self.calls.get(&digest).filter(|entry| now < entry.until)?;
         Some(entry.until - now)
     }
 
-    /// Takes a call in, or one in that came again.
+    /// Adds a call, or extends the time of one that has arrived again.
     pub fn add(&mut self, digest: Digest, now: Duration) {
         self.extend(digest, now + QUARANTINE_TIME);
     }
 
-    /// Takes a peer's word in; true when it is news.
+    /// Applies a peer's report, and returns whether its call wasn't in quarantine before.
     pub fn apply_report(&mut self, report: &QuarantinedCall, now: Duration) -> bool {
         let digest = Digest(report.digest);
         let is_new = self.time_left(digest, now).is_none();
@@ -74,7 +75,8 @@
         entry.until = entry.until.max(until);
     }
 
-    /// New ones for the next datagram, and some of the others in turn.
+    /// Returns the calls to report in the next datagram: the new ones, and `others` of the rest in
+    /// turn.
     pub fn take_reports(&mut self, others: usize, now: Duration) -> Vec<QuarantinedCall> {
         self.calls.retain(|_, entry| now < entry.until);
         let after = self.calls.range((Bound::Excluded(self.last_reported), Bound::Unbounded));
--- a/crates/basilbank_forward/src/state/quotas.rs
+++ b/crates/basilbank_forward/src/state/quotas.rs
@@ -13,83 +13,87 @@
     team::{Quota, TeamId},
 };
 
-/// How long what was taken waits for company before it is told.
+/// Time that use of a quota waits before it is reported, so that one report covers several
+/// requests.
 const REPORT_DELAY: Duration = Duration::from_millis(20);
 
-/// Time after which it is told again if it isn't acknowledged.
+/// Time after which an unacknowledged report is repeated.
 const REPORT_REPEAT_DELAY: Duration = Duration::from_millis(70);
 
-/// Words without an acknowledgement after which the daemon that counts is left.
+/// Number of reports without an acknowledgement after which the quota owner is avoided.
 const MAX_UNACKNOWLEDGED_REPORTS: u32 = 3;
 
-/// How long it is left for.
+/// Time for which an owner that doesn't acknowledge reports is avoided.
 const AVOID_OWNER_TIME: Duration = Duration::from_secs(3);
 
-/// A team that nobody has used for this long is forgotten.
+/// Time without use after which a team is forgotten.
 const IDLE_EXPIRY: Duration = Duration::from_secs(60);
 
-/// Time between two looks at what is over.
+/// Interval at which expired entries are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Part by which a daemon that can't ask may use more than an even share: callers don't come evenly.
+/// Factor by which a daemon that can't ask the owner may exceed an even share: callers are not
+/// evenly distributed.
 pub const SHARE_MARGIN: f64 = 1.1;
 
-/// Seconds of its share that it may save up.
+/// Maximum unused amount of its own share that a daemon accumulates, in seconds of the share's
+/// rate.
 const SHARE_BURST_SECONDS: f64 = 1.0;
 
-/// All teams that were used lately, and requests that wait for an answer.
+/// The teams that were used recently, and the requests that wait for an owner's answer.
 #[derive(Debug, Default)]
 pub struct Quotas {
     teams: HashMap<TeamId, TeamUsage>,
-    /// Teams of which something may be untold: each turn looks at these, and not at all that were used lately.
+    /// Teams that may have unreported use. Each reducer step checks only these, and not all teams
+    /// that were used recently.
     unreported: BTreeSet<TeamId>,
-    /// Requests that have asked, by ticket.
+    /// Requests that have asked an owner, by ticket.
     pub pending: HashMap<u64, PendingRequest>,
-    /// Tickets so far.
+    /// Number of tickets given out so far.
     tickets: u64,
-    /// Daemons that did not acknowledge what they were told, and until when they are left.
+    /// Owners that did not acknowledge reports, and until when they are avoided.
     avoided_owners: HashMap<SocketAddr, Duration>,
-    /// When what is over was last forgotten.
+    /// When expired entries were last removed.
     last_expiry: Duration,
 }
 
-/// A request that has asked for its part.
+/// A request that has asked the quota owner for its part.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingRequest {
-    /// Which one. It may have ended meanwhile.
+    /// The request, which may have ended in the meantime.
     pub request: RequestId,
-    /// What it asked for.
+    /// The amount that it asked for.
     pub amount: u32,
-    /// When.
+    /// When it asked.
     pub at: Duration,
 }
 
 /// What this daemon's callers have taken of one quota.
 #[derive(Clone, Debug)]
 pub struct TeamUsage {
-    /// The daemon that counts for all; none while it is this one, or nothing was told.
+    /// The quota's owner; `None` while it is this daemon, or nothing has been reported.
     pub owner: Option<SocketAddr>,
-    /// Rises with each other daemon that counts.
+    /// Increases with each change of the owner.
     pub epoch: u32,
-    /// Taken since this epoch began, less what was given back.
+    /// Amount taken since this epoch began, less what was returned.
     pub taken: i64,
-    /// The part that is acknowledged.
+    /// The part of it that the owner has acknowledged.
     pub acknowledged: i64,
-    /// When something was taken that isn't told yet.
+    /// Since when there is use that has not been reported.
     pub unreported_since: Option<Duration>,
-    /// When it was told last.
+    /// When the last report was sent.
     pub last_report: Duration,
-    /// Words since the last acknowledgement.
+    /// Number of reports since the last acknowledgement.
     pub unacknowledged_reports: u32,
-    /// Until then requests ask before they are taken.
+    /// Until when requests ask the owner before they are let through.
     pub ask_until: Duration,
-    /// Until then there is no room.
+    /// Until when the quota is used up.
     pub full_until: Duration,
-    /// Units that this daemon has let pass, for metrics.
+    /// Units that this daemon has let through, for metrics.
     pub passed: u64,
-    /// Calls that it has refused, for metrics.
+    /// Number of calls that this daemon has refused, for metrics.
     pub refused: u64,
-    /// This daemon's own share, for the time in which nobody answers.
+    /// This daemon's own share of the quota, for times in which the owner doesn't answer.
     share: Bucket,
     last_used: Duration,
 }
@@ -113,21 +117,22 @@
         }
     }
 
-    /// Something was taken, or given back.
+    /// Records that an amount was taken, or returned if it is negative.
     pub fn take(&mut self, amount: i64, now: Duration) {
         self.taken += amount;
         self.unreported_since.get_or_insert(now);
     }
 
-    /// A call passes, or is refused.
+    /// Records that a call was let through or refused.
     pub fn record_decision(&mut self, amount: u32, passes: bool, now: Duration) {
         self.last_used = now;
         self.passed += if passes { u64::from(amount) } else { 0 };
         self.refused += u64::from(!passes);
     }
 
-    /// Takes from this daemon's own share of the quota; false when it is used up. It may be overdrawn once,
-    /// or a large request would never pass a small share.
+    /// Takes an amount from this daemon's own share of the quota, and returns whether the share
+    /// allowed it. The share may be overdrawn by one request, or a large request would never fit
+    /// into a small share.
     #[must_use]
     pub fn take_share(&mut self, quota: &Quota, fraction: f64, amount: u32, now: Duration) -> bool {
         let rate = quota.rate * fraction;
@@ -139,14 +144,14 @@
         true
     }
 
-    /// When this daemon's own share has room again.
+    /// Returns the time until this daemon's own share allows requests again.
     #[must_use]
     pub fn share_wait(&self, quota: &Quota, fraction: f64) -> Duration {
         let lacking = (-self.share.level).max(0.0) / (quota.rate * fraction).max(f64::EPSILON);
         Duration::try_from_secs_f64(lacking).unwrap_or(IDLE_EXPIRY).min(IDLE_EXPIRY)
     }
 
-    /// Another daemon counts from now on. It is told what the one before has not acknowledged.
+    /// Changes the owner. The new one is sent what the former one has not acknowledged.
     pub fn change_owner(&mut self, owner: Option<SocketAddr>) {
         self.owner = owner;
         self.epoch = self.epoch.wrapping_add(1);
@@ -157,7 +162,7 @@
         self.full_until = Duration::ZERO;
     }
 
-    /// A sum was acknowledged.
+    /// Applies the owner's acknowledgement of a sum.
     pub fn acknowledge(&mut self, epoch: u32, taken: i64, now: Duration) {
         if epoch != self.epoch {
             return;
@@ -167,7 +172,7 @@
         self.unreported_since = self.unreported_since.filter(|_| taken != self.taken).map(|_| now);
     }
 
-    /// A word goes out to the daemon that counts. Several at once count as one.
+    /// Records that a report is sent to the owner. Several at once count as one.
     pub fn record_report(&mut self, now: Duration) {
         if self.unacknowledged_reports == 0 || self.last_report + REPORT_REPEAT_DELAY <= now {
             self.unacknowledged_reports += 1;
@@ -175,7 +180,7 @@
         }
     }
 
-    /// When it is told next.
+    /// Returns when the next report is due.
     fn report_due(&self) -> Option<Duration> {
         let first = self.unreported_since? + REPORT_DELAY;
         Some(if self.unacknowledged_reports == 0 {
@@ -185,13 +190,14 @@
         })
     }
 
-    /// The daemon that counts may not hear, or not be heard: what is taken on trust now may never be counted.
+    /// Returns whether contact with the owner may be lost. What is taken without asking may then
+    /// never be counted.
     #[must_use]
     pub fn is_owner_doubtful(&self) -> bool {
         1 < self.unacknowledged_reports
     }
 
-    /// The daemon that counts doesn't hear, or isn't heard.
+    /// Returns whether contact with the owner is lost.
     #[must_use]
     pub fn is_owner_lost(&self) -> bool {
         MAX_UNACKNOWLEDGED_REPORTS <= self.unacknowledged_reports
@@ -199,20 +205,20 @@
 }
 
 impl Quotas {
-    /// A team's use.
+    /// Returns a team's usage, to be changed.
     pub fn usage_mut(&mut self, team: TeamId, now: Duration) -> &mut TeamUsage {
         self.unreported.insert(team);
         self.teams.entry(team).or_insert_with(|| TeamUsage::new(now))
     }
 
-    /// A ticket for a request that asks.
+    /// Adds a request that asks an owner, and returns its ticket.
     pub fn add_pending(&mut self, pending: PendingRequest) -> u64 {
         self.tickets += 1;
         self.pending.insert(self.tickets, pending);
         self.tickets
     }
 
-    /// Teams of which something is to be told now.
+    /// Returns the teams whose use has to be reported now.
     pub fn due_reports(&mut self, now: Duration) -> Vec<TeamId> {
         let teams = &self.teams;
         self.unreported
@@ -223,30 +229,30 @@
         self.unreported.iter().filter(due).copied().collect()
     }
 
-    /// When something is to be told next.
+    /// Returns when the next report is due.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
         self.unreported.iter().filter_map(|team| self.teams.get(team)?.report_due()).min()
     }
 
-    /// Leaves a daemon that doesn't answer.
+    /// Avoids an owner that doesn't answer.
     pub fn avoid_owner(&mut self, owner: SocketAddr, now: Duration) {
         self.avoided_owners.insert(owner, now + AVOID_OWNER_TIME);
     }
 
-    /// A daemon is left for not answering.
+    /// Returns whether a daemon is avoided as an owner because it did not answer.
     #[must_use]
     pub fn avoids_owner(&self, owner: &SocketAddr, now: Duration) -> bool {
         self.avoided_owners.get(owner).is_some_and(|until| now < *until)
     }
 
-    /// Some daemon is left for not answering.
+    /// Returns whether any daemon is avoided as an owner because it did not answer.
     #[must_use]
     pub fn avoids_any_owner(&self, now: Duration) -> bool {
         self.avoided_owners.values().any(|until| now < *until)
     }
 
-    /// What teams use through this daemon, the most first.
+    /// Returns the teams with the most use through this daemon, in descending order.
     #[must_use]
     pub fn most_used(&self, count: usize) -> Vec<(TeamId, &TeamUsage)> {
         let mut all: Vec<_> = self.teams.iter().map(|(team, usage)| (*team, usage)).collect();
@@ -255,7 +261,7 @@
         all
     }
 
-    /// Forgets what is over, now and then; true if it did.
+    /// Removes expired entries if it is time, and returns whether it was.
     pub fn expire(&mut self, now: Duration) -> bool {
         if now < self.last_expiry + EXPIRY_INTERVAL {
             return false;
--- a/crates/basilbank_forward/src/state/requests.rs
+++ b/crates/basilbank_forward/src/state/requests.rs
@@ -11,124 +11,125 @@
     team::{QuotaUnit, Team},
 };
 
-/// Times the target that callers wait for a stream's first event.
+/// Time that callers wait for a stream's first event, as a multiple of the route's target time.
 const FIRST_EVENT_TARGETS: u32 = 4;
 
-/// What they wait at least.
+/// Minimum time that callers wait for a stream's first event.
 const MIN_FIRST_EVENT_WAIT: Duration = Duration::from_secs(2);
 
-/// One call in progress.
+/// The router's record of one call in progress.
 #[derive(Debug)]
 pub struct Request {
-    /// What was asked for.
+    /// The caller's call.
     pub call: Call,
-    /// Its route, as it was when the call came.
+    /// Its route, as configured when the call arrived.
     pub route: Route,
     /// The service that it goes to.
     pub service: String,
-    /// The configuration's version that chose them.
+    /// The version of the configuration by which the route and the service were chosen.
     pub version: u64,
-    /// The team that calls; none where no key is needed.
+    /// The team that calls; `None` where no key is needed.
     pub team: Option<Arc<Team>>,
-    /// Its part of the team's quota.
+    /// The state of its part of the team's quota.
     pub quota: QuotaStage,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Duration,
-    /// Its answer is given by then, whatever it is.
+    /// When it is answered at the latest, whatever the answer is.
     pub deadline: Duration,
     /// Attempts in progress.
     pub active_attempts: Vec<ActiveAttempt>,
-    /// Attempts so far: the next one's number.
+    /// Number of attempts so far, which is the number of the next one.
     pub attempt_count: u32,
-    /// Calls so far that count against the route's attempts.
+    /// Number of attempts so far that count against the route's maximum.
     pub counted_attempts: u32,
-    /// Calls that were refused, and for which the retry budget has not been asked yet. The first call
-    /// that isn't refused is free, and so is a prefill; each refused one means one call more.
+    /// Number of refused attempts that have not been charged to the retry budget yet. The first
+    /// attempt that isn't refused is free, and so is a prefill; each refused one makes an extra
+    /// call necessary.
     pub uncharged_refusals: u32,
-    /// Endpoints that had it, in order.
+    /// Endpoints that it was sent to, in order.
     pub tried: Vec<EndpointKey>,
-    /// An endpoint may have run it.
+    /// Whether an endpoint may have run it in an earlier attempt.
     pub maybe_run: bool,
-    /// Its answer has begun.
+    /// Whether its answer has begun.
     pub answering: bool,
     /// The last failure.
     pub last_failure: Option<Refusal>,
-    /// The draft's progress.
+    /// Its progress, if it is a completion.
     pub completion: Completion,
-    /// It waits and goes on then.
+    /// When it resumes, if it is waiting for a fixed time.
     pub resume_at: Option<Duration>,
-    /// It doesn't wait for a permit after this.
+    /// Until when it waits for a permit.
     pub permit_deadline: Option<Duration>,
-    /// When its caller can be served, if that is known.
+    /// Time after which its caller can be served, if that is known.
     pub retry_after: Option<Duration>,
     /// Timers that were set for it.
     pub timers: Vec<Duration>,
 }
 
-/// How far a request is with its part of its team's quota.
+/// The state of a request's part of its team's quota.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub enum QuotaStage {
-    /// Nothing was asked or taken.
+    /// Nothing was asked for or taken.
     #[default]
     New,
-    /// The daemon that counts was asked.
+    /// The quota owner was asked.
     Asked {
-        /// The question.
+        /// The ticket of the question.
         ticket: u64,
-        /// The answer isn't waited for any longer.
+        /// Until when the answer is awaited.
         until: Duration,
     },
-    /// It was taken.
+    /// The request's part was taken.
     Taken {
-        /// So much of it.
+        /// The amount.
         amount: u32,
     },
-    /// The team has none.
+    /// The team has no quota.
     Unlimited,
 }
 
 /// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveAttempt {
-    /// Its number.
+    /// The attempt's number.
     pub number: u32,
-    /// Where it is.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointKey,
-    /// What was counted for it there.
+    /// The usage that is counted for it there.
     pub usage: Usage,
-    /// Tokens that were to be read at a prefill endpoint then, its own included.
+    /// Tokens to be read at a prefill endpoint when the attempt started, including its own.
     pub queued_tokens: u32,
-    /// When it began.
+    /// When it started.
     pub started: Duration,
-    /// What it does.
+    /// The work that it does.
     pub step: Step,
 }
 
-/// What an attempt does.
+/// The work that an attempt does.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// The whole call.
+    /// Runs the whole call.
     Whole,
     /// Holds a slot.
     Hold,
     /// Reads the prompt.
     Prefill,
-    /// Generates.
+    /// Generates the answer.
     Decode,
 }
 
-/// A draft's progress.
+/// The progress of a completion.
 #[derive(Debug, Default)]
 pub struct Completion {
     /// The slot that is held for it.
     pub hold: Option<Hold>,
-    /// The KV cache that waits for it.
+    /// The KV cache that is kept for it.
     pub kv: Option<KvCache>,
-    /// Prefill endpoints that have read the prompt, or may have.
+    /// Number of prefill endpoints that have read the prompt, or may have.
     pub prefills: u32,
-    /// Calls for a slot since the last pause.
+    /// Number of attempts to hold a slot since the last pause.
     pub hold_attempts: u32,
-    /// It has waited for room.
+    /// Whether it has waited for capacity.
     pub waited: bool,
 }
 
@@ -139,7 +140,8 @@
     pub endpoint: EndpointKey,
     /// The hold's name there.
     pub name: String,
-    /// What is counted for it there; `None` once the call that takes it counts instead.
+    /// The usage that is counted for it there; `None` once the attempt that takes the slot counts
+    /// instead.
     pub usage: Option<Usage>,
 }
 
@@ -148,14 +150,14 @@
 pub struct KvCache {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Its name there.
+    /// The KV cache's name there.
     pub handle: String,
     /// When it was made.
     pub made: Duration,
 }
 
 impl Request {
-    /// What it takes of its team's quota, if there is one.
+    /// Returns the amount that it takes of its team's quota, if there is one.
     #[must_use]
     pub fn quota_amount(&self, unit: QuotaUnit) -> u32 {
         match (unit, &self.call.prompt) {
@@ -167,27 +169,29 @@
         }
     }
 
-    /// How long the caller still waits.
+    /// Returns the time until its deadline.
     #[must_use]
     pub fn remaining(&self, now: Duration) -> Duration {
         self.deadline.saturating_sub(now)
     }
 
-    /// An endpoint may have run it: one that has it now counts, for it may have begun.
+    /// Returns whether an endpoint may have run it. An endpoint that has it now counts, for it may
+    /// have started.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         let runs = |attempt: &ActiveAttempt| matches!(attempt.step, Step::Whole | Step::Decode);
         self.maybe_run || self.active_attempts.iter().any(runs)
     }
 
-    /// The next call is beyond the first: one was refused before, or may have run.
+    /// Returns whether the next attempt is an extra call: an earlier one was refused, or may have
+    /// run.
     #[must_use]
     pub fn is_repeat(&self) -> bool {
         self.uncharged_refusals != 0 || self.counted_attempts != 0
     }
 
-    /// When the caller of a stream leaves if nothing has come. A stream that has begun may go on until
-    /// its deadline.
+    /// Returns when the caller stops waiting: the caller of a stream leaves early if nothing has
+    /// arrived, while a stream that has begun may last until its deadline.
     #[must_use]
     pub fn caller_deadline(&self) -> Duration {
         if self.answering {
@@ -197,19 +201,20 @@
         self.deadline.min(self.arrived + wait)
     }
 
-    /// Its answer is on time if it begins at `first`.
+    /// Returns whether its answer is on time if it begins at `first`.
     #[must_use]
     pub fn is_on_time(&self, first: Duration) -> bool {
         first <= self.due()
     }
 
-    /// Its place among the drafts that wait, if its first token can't come before `soonest`.
+    /// Returns its position among the waiting completions, if its first token can't come before
+    /// `soonest`.
     #[must_use]
     pub fn queue_position(&self, soonest: Duration) -> QueuePosition {
         QueuePosition::new(self.due(), soonest)
     }
 
-    /// When its answer should begin to be on time.
+    /// Returns when its answer has to begin to be on time.
     #[must_use]
     pub fn due(&self) -> Duration {
         self.arrived + self.route.target
--- a/crates/basilbank_forward/src/state/retry_budget.rs
+++ b/crates/basilbank_forward/src/state/retry_budget.rs
@@ -4,19 +4,20 @@
 
 use crate::tuning::Tuning;
 
-/// Width of a bucket. Bounds slide, so the sums always cover one bucket more than the window.
+/// Width of a bucket. The bounds of the window slide, so the sums always cover one bucket more than
+/// the window.
 const BUCKET_WIDTH: Duration = Duration::from_millis(500);
 
-/// Shares of the slack per daemon that is known: a daemon that restarts within a window begins with
-/// a share anew, and all of them may.
+/// Shares of the slack per known daemon. A daemon that restarts within a window starts with a new
+/// share, and all daemons may do so.
 const SHARES_PER_DAEMON: f64 = 2.0;
 
 /// Counts of calls and of extra calls in the last window.
 ///
-/// The bound is for the whole fleet: extra calls in any window stay below a ratio of the calls plus
-/// a slack. No daemon knows what others send, so each uses only a part of what its own calls earn,
-/// and an equal share of the slack. The parts then add up below the bound whatever happens to the
-/// talk between daemons, and a daemon that has just started begins with the share alone.
+/// The bound applies to the whole fleet: in any window, extra calls stay below a ratio of the calls
+/// plus a slack. No daemon knows what others send, so each one uses only a fraction of what its own
+/// calls earn, and an equal share of the slack. These parts add up to less than the bound even if
+/// the daemons can't communicate, and a daemon that has just started begins with its share alone.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     buckets: VecDeque<Bucket>,
@@ -30,12 +31,12 @@
 }
 
 impl RetryBudget {
-    /// A caller's call for the service came in.
+    /// Counts a caller's call for the service.
     pub fn record_call(&mut self, now: Duration, tuning: &Tuning) {
         self.bucket(now, tuning).calls += 1;
     }
 
-    /// Takes one extra call if there is room for it.
+    /// Takes one extra call if the budget allows it, and returns whether it does.
     #[must_use]
     pub fn try_take(&mut self, now: Duration, tuning: &Tuning, daemons: usize) -> bool {
         if self.available(now, tuning, daemons) < 1.0 {
@@ -45,7 +46,8 @@
         true
     }
 
-    /// Extra calls that could be made now. `daemons` is the most that were known at once.
+    /// Returns the number of extra calls that could be made now. `daemons` is the maximum number of
+    /// daemons that were known at once.
     #[must_use]
     pub fn available(&mut self, now: Duration, tuning: &Tuning, daemons: usize) -> f64 {
         self.bucket(now, tuning);
@@ -56,6 +58,7 @@
         earned + tuning.retry_slack / shares - f64::from(extras)
     }
 
+    /// Removes the buckets that have left the window, and returns the current one.
     fn bucket(&mut self, now: Duration, tuning: &Tuning) -> &mut Bucket {
         let width = BUCKET_WIDTH.as_millis();
         let index = u64::try_from(now.as_millis() / width).unwrap_or(u64::MAX);
--- a/crates/basilbank_forward/src/state/roles.rs
+++ b/crates/basilbank_forward/src/state/roles.rs
@@ -1,43 +1,45 @@
-//! Who orders endpoints' stages, and what was ordered.
+//! Which daemon orders endpoints to change their stage, and the orders that were sent.
 
 use std::{collections::HashMap, time::Duration};
 
 use crate::endpoint::EndpointKey;
 
-/// This daemon's right to order endpoints.
+/// This daemon's right to send orders to endpoints.
 ///
-/// Two daemons that order one endpoint within a lease undo each other's work, and nothing can be
-/// written by which they could exclude each other. So the right follows from what all daemons read
-/// alike: only the one whose own address stands first among the seeds has it, and it has it from
-/// its process's start or never gets it without a long silence. Nobody succeeds it while it is
-/// down: the stages stay as they are.
+/// Two daemons that send orders to one endpoint within a lease would undo each other's work, and
+/// there is nothing to which they could write to exclude each other. So the right follows from
+/// settings that all daemons read alike: only the daemon whose own address is the first of the
+/// seeds has it. It has the right from its process's start, or only after a long silence. No other
+/// daemon takes over while it is down: the stages then stay as they are.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum OrderRight {
-    /// It never orders.
+    /// The daemon never sends orders.
     #[default]
     None,
-    /// It may order at once: the whole system starts for the first time.
+    /// The daemon may send orders at once: the whole system starts for the first time.
     AtOnce,
-    /// It may order after a silence that is longer than any older holder's last orders can be late.
+    /// The daemon may send orders after a silence that is longer than the last orders of any
+    /// earlier holder of the right can be delayed.
     AfterSilence,
 }
 
-/// Orders and the load that they follow.
+/// Orders to endpoints, and the state that they depend on.
 #[derive(Debug, Default)]
 pub struct Roles {
-    /// The right to order.
+    /// The right to send orders.
     pub right: OrderRight,
     /// When the right was gained.
     pub right_since: Duration,
-    /// The time of day less the steady clock, in milliseconds, when it was last looked at.
+    /// Offset of the wall clock from the monotonic clock, in milliseconds, when it was last
+    /// compared.
     pub clock_offset_ms: Option<i128>,
-    /// Orders so far.
+    /// Number of orders so far.
     pub order_count: u64,
     /// The last fencing number.
     pub last_fence: u64,
     /// When the last order was sent.
     pub last_order: Duration,
-    /// Endpoints whose order was sent, and when.
+    /// Endpoints to which an order was sent, and when.
     pub ordered: HashMap<EndpointKey, Duration>,
     /// When the list of endpoints last grew.
     pub list_grew: Duration,
--- a/crates/basilbank_forward/src/state/suspects.rs
+++ b/crates/basilbank_forward/src/state/suspects.rs
@@ -4,55 +4,56 @@
 
 use crate::endpoint::EndpointKey;
 
-/// One endpoint that did not answer.
+/// An endpoint that did not answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Suspect {
-    /// When it is asked next; `None` while a question is under way.
+    /// When it is probed next; `None` while a probe is in progress.
     pub due: Option<Duration>,
-    /// Questions that it did not answer.
+    /// Number of probes that it did not answer.
     pub unanswered: u32,
-    /// It is taken for dark, and not only asked.
+    /// Whether it counts as unreachable, and isn't merely probed.
     pub unreachable: bool,
 }
 
-/// All of them that this daemon has met itself.
+/// The endpoints that did not answer this daemon itself.
 #[derive(Debug, Default)]
 pub struct Suspects {
     suspects: BTreeMap<EndpointKey, Suspect>,
 }
 
 impl Suspects {
-    /// How many there are.
+    /// Returns the number of suspects.
     #[must_use]
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// There are none.
+    /// Returns whether there are no suspects.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How many are taken for dark.
+    /// Returns the number of suspects that count as unreachable.
     #[must_use]
     pub fn count_unreachable(&self) -> usize {
         self.suspects.values().filter(|suspect| suspect.unreachable).count()
     }
 
-    /// The endpoint is one of them.
+    /// Returns whether the endpoint is a suspect.
     #[must_use]
     pub fn contains(&self, key: EndpointKey) -> bool {
         self.suspects.contains_key(&key)
     }
 
-    /// Adds one that is taken for dark, to be asked at `due`; false when it is known for that.
+    /// Adds an unreachable endpoint, to be probed at `due`, and returns whether it didn't count as
+    /// unreachable before.
     pub fn add_unreachable(&mut self, key: EndpointKey, due: Duration) -> bool {
         let new = Suspect { due: Some(due), unanswered: 0, unreachable: false };
         !std::mem::replace(&mut self.suspects.entry(key).or_insert(new).unreachable, true)
     }
 
-    /// Adds one that may be sound, to be asked at `due`, unless it is known.
+    /// Adds an endpoint that may be healthy, to be probed at `due`, unless it is a suspect already.
     pub fn add_doubtful(&mut self, key: EndpointKey, due: Duration) {
         self.suspects.entry(key).or_insert(Suspect {
             due: Some(due),
@@ -61,23 +62,24 @@
         });
     }
 
-    /// One of them, to change it.
+    /// Returns a mutable reference to a suspect.
     pub fn get_mut(&mut self, key: EndpointKey) -> Option<&mut Suspect> {
         self.suspects.get_mut(&key)
     }
 
-    /// It answered, or is gone; true when it was taken for dark.
+    /// Removes an endpoint that has answered or was removed, and returns whether it counted as
+    /// unreachable.
     pub fn remove(&mut self, key: EndpointKey) -> bool {
         self.suspects.remove(&key).is_some_and(|suspect| suspect.unreachable)
     }
 
-    /// When the next one is to be asked.
+    /// Returns when the next probe is due.
     #[must_use]
     pub fn due(&self) -> Option<Duration> {
         self.suspects.values().filter_map(|suspect| suspect.due).min()
     }
 
-    /// Takes one that is to be asked by `now`.
+    /// Returns a suspect whose probe is due by `now`, and counts the probe as in progress.
     pub fn take_due(&mut self, now: Duration) -> Option<EndpointKey> {
         let is_due = |suspect: &Suspect| suspect.due.is_some_and(|due| due <= now);
         let (key, suspect) = self.suspects.iter_mut().find(|(_, suspect)| is_due(suspect))?;
--- a/crates/basilbank_forward/src/state/usage.rs
+++ b/crates/basilbank_forward/src/state/usage.rs
@@ -1,46 +1,47 @@
-//! Memory that drafts take at an endpoint, now and until they end.
+//! Memory that completions take at an endpoint, now and until they end.
 
 use std::time::Duration;
 
-/// Part of what a draft has generated that it is expected to generate yet once it is past its caller's
-/// estimate. Estimates are right at the median and often off by half; a draft that counted as ended
-/// would be given away while it goes on growing.
+/// Expected further length of a completion that has exceeded its caller's estimate, as a fraction
+/// of what it has generated. Estimates are right at the median and often off by half. If such a
+/// completion counted as ended, its memory would be given away while it continues to grow.
 const OVERDUE_FRACTION: f64 = 0.25;
 
-/// What one call, or all of a peer's calls together, take at an endpoint.
+/// Usage of an endpoint by one call, or by all of a peer's calls together.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Usage {
-    /// Calls.
+    /// Number of calls.
     pub calls: u32,
-    /// Tokens of all of them at their ends: to be read at a prefill endpoint, in memory at a decode
-    /// endpoint.
+    /// Tokens of all calls at their ends: those to be read at a prefill endpoint, those in memory
+    /// at a decode endpoint.
     pub tokens: u32,
-    /// Those of them that were still to be generated at `since`.
+    /// Number of the tokens that were still to be generated at `generating_since`.
     pub tokens_left: u32,
-    /// Since when they are generated; `None` before it begins.
+    /// Since when tokens are generated; `None` before generation starts.
     pub generating_since: Option<Duration>,
 }
 
 impl Usage {
-    /// A call that takes no memory.
+    /// Returns the usage of a call that takes no memory.
     #[must_use]
     pub fn plain() -> Usage {
         Usage { calls: 1, ..Usage::default() }
     }
 
-    /// A prompt of so many tokens that is read.
+    /// Returns the usage of reading a prompt with this number of tokens.
     #[must_use]
     pub fn prefill(tokens: u32) -> Usage {
         Usage { tokens, ..Usage::plain() }
     }
 
-    /// A draft with a prompt, which grows while it is generated.
+    /// Returns the usage of a completion, given the tokens of its prompt and of its output.
     #[must_use]
     pub fn completion(prompt: u32, output: u32) -> Usage {
         Usage { tokens: prompt.saturating_add(output), tokens_left: output, ..Usage::plain() }
     }
 
-    /// Tokens that are still to be generated, at so many a second for each call.
+    /// Returns the number of tokens that are still to be generated, at `rate` tokens per second for
+    /// each call.
     #[must_use]
     pub fn tokens_left(&self, now: Duration, rate: f64) -> f64 {
         let left = f64::from(self.tokens_left);
@@ -50,26 +51,29 @@
     }
 }
 
-/// How drafts of a service grow.
+/// How a service's completions grow.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Growth {
-    /// Tokens a second that one of them generates; zero while nothing is known, so that each counts as
-    /// if it had just begun.
+    /// Tokens per second that one completion generates; zero while it isn't known, so that each
+    /// completion counts as if it had just started.
     pub rate: f64,
-    /// Room that is kept for wrong estimates, as a part of what a draft is still expected to generate.
+    /// Memory that is kept free for wrong estimates, as a fraction of what a completion is still
+    /// expected to generate.
     pub margin: f64,
 }
 
-/// The most tokens that these drafts will have in memory at once, until each call has generated so
-/// many more tokens and if no other comes.
+/// Returns the maximum number of tokens that these completions will have in memory at once until
+/// each call has generated `until` more tokens, if no other completion is added.
 ///
-/// A draft takes its prompt at first and grows until it ends. To count each at its end keeps memory
-/// idle where answers are long, since drafts are at all stages; to count each as it is now gives the
-/// same memory to several when many have begun together. All generate equally fast, so time is
-/// counted in tokens: the memory is fullest just before one of them ends.
+/// A completion starts with its prompt and grows until it ends. Counting each completion at its
+/// final size would leave memory idle where answers are long, since completions are at all stages.
+/// Counting each at its current size would give the same memory to several when many have started
+/// together. All completions generate at the same rate, so time is counted in tokens: memory use
+/// peaks just before one of them ends.
 ///
-/// Estimates are wrong either way, and for each draft by itself, so the room that is kept for that is the
-/// root of the squares' sum. Where prompts are long and answers short it is next to nothing.
+/// The errors of the estimates are independent and go either way, so the memory that is kept free
+/// for them is the root of the sum of the squares. Where prompts are long and answers short it is
+/// almost nothing.
 #[must_use]
 pub fn peak_tokens(
     usages: impl Iterator<Item = Usage>,
@@ -96,10 +100,11 @@
     max + growth.margin * squares.sqrt()
 }
 
-/// When calls will end, and what they take now.
+/// The end of some calls, and their current usage.
 struct End {
     calls: f64,
-    /// Tokens that each of them still generates.
+    /// Tokens that each call still generates.
     left_per_call: f64,
+    /// Tokens that the calls have in memory now.
     tokens: f64,
 }
--- a/crates/basilbank_forward/src/state/watchers.rs
+++ b/crates/basilbank_forward/src/state/watchers.rs
@@ -1,4 +1,5 @@
-//! Few daemons of a large fleet watch the store, and the others rest on their word.
+//! In a large fleet few daemons watch the store; the others are followers, which rely on the
+//! watchers' reports.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,40 +7,40 @@
 
 use super::{Peer, Peers, State, peers};
 
-/// Fewer peers than these each watch the store themselves: that costs little, and each has a look of its
-/// own.
+/// Minimum number of peers from which on only some daemons watch the store. With fewer peers each
+/// daemon watches it itself: that costs little, and each daemon has its own view.
 const MIN_PEERS_FOR_WATCHERS: usize = 20;
 
-/// Daemons that watch the store for a large fleet.
+/// Number of daemons that watch the store for a large fleet.
 const WATCHERS: usize = 6;
 
-/// Daemons that have to watch it so that the others need not: half of them, so that the store's or the
-/// network's trouble with some leaves enough, and so that no single one is believed.
+/// Minimum number of watchers on which followers rely. It is half of them, so that enough are left
+/// when some lose contact with the store or the network, and that no single one is relied on.
 pub(super) const MIN_WATCHERS: usize = 3;
 
-/// How old the word of a daemon that watches may be: three of its heartbeats, and a bit.
+/// Maximum age of a watcher's last report: slightly more than three of its heartbeats.
 const MAX_WATCHER_SILENCE: Duration = Duration::from_millis(1700);
 
-/// What the peers' word about the store is worth to this daemon.
+/// How far this daemon relies on its peers' reports about the store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct FollowState {
-    /// Enough of them watch the store, and have said lately that it answers them: what they don't tell
-    /// isn't there.
+    /// Whether this daemon is a follower: enough peers watch the store and have recently reported
+    /// that it answers them, so there is no change that they haven't reported.
     pub follows: bool,
-    /// How often one of them has said that it doesn't see the store any more.
+    /// Number of times that a watcher has reported that it lost the store.
     pub watcher_losses: u32,
 }
 
 impl State {
-    /// The fleet is so large that few watch the store for all.
+    /// Returns whether the fleet is so large that few daemons watch the store for all.
     pub(super) fn is_large_fleet(&self) -> bool {
         MIN_PEERS_FOR_WATCHERS <= self.peers.known.len()
     }
 
-    /// This daemon is one of the few that watch the store for a large fleet.
+    /// Returns whether this daemon is one of the few that watch the store for a large fleet.
     ///
-    /// Each takes itself for one by its place among all that it hears, so no one has to be asked; daemons
-    /// that hear different ones make it one watcher more or less.
+    /// Each daemon decides this from its rank among all daemons that it knows, so it needn't ask
+    /// any other. If daemons know different peers, there is a watcher more or less.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         let peers = &self.peers;
@@ -52,14 +53,15 @@
             && peers.known.iter().filter(is_before).count() < WATCHERS
     }
 
-    /// This daemon watches, and the store answers it.
+    /// Returns whether this daemon is a watcher and the store answers it.
     #[must_use]
     pub fn is_active_watcher(&self) -> bool {
         self.is_watcher() && !self.directory.store_lost
     }
 
-    /// How old this daemon's view of the list of endpoints is: the time since it read the store or, if it
-    /// rests on others, since as many of them as that takes have said that there is nothing new.
+    /// Returns the age of this daemon's view of the list of endpoints: the time since it read the
+    /// store or, if it is a follower, since the required number of watchers have reported that
+    /// there is no change.
     #[must_use]
     pub fn view_age(&self, now: Duration) -> Duration {
         let mut watchers: Vec<_> = self.peers.known.values().filter(|peer| peer.watching).collect();
@@ -69,7 +71,7 @@
         now.saturating_sub(oldest.map_or(read, |peer| peer.last_seen.max(read)))
     }
 
-    /// Whether this daemon rests on the word of those that watch.
+    /// Returns whether this daemon is a follower, and how often watchers have lost the store.
     #[must_use]
     pub fn follow_state(&self) -> FollowState {
         let Peers { known, now, watcher_losses, .. } = &self.peers;
@@ -82,7 +84,8 @@
     }
 }
 
-/// The place of a daemon among those that may watch, the same for all who hear it.
+/// Returns the rank of a daemon among those that may watch the store, by which all daemons order
+/// them alike.
 fn watcher_rank(address: &SocketAddr) -> Option<u64> {
     let PeerAddress { ip, port } = peers::to_wire(address)?;
     Some(xxhash_rust::xxh3::xxh3_64_with_seed(&ip.to_be_bytes(), port.into()))
--- a/crates/basilbank_forward/src/team.rs
+++ b/crates/basilbank_forward/src/team.rs
@@ -1,23 +1,24 @@
-//! Teams: who calls, by which key, and how much of the services they may use.
+//! Teams: who calls, with which key, and how much of the services they may use.
 
 use std::{collections::HashMap, fmt, sync::Arc};
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What a caller shows to be let in. The key itself never comes here: the shell hashes it with a secret of
-/// the process, so that neither a log nor a lookup's time tells anything of it.
+/// The credential that a caller presents. The key itself never reaches this crate: the shell hashes
+/// it with a secret of the process, so that neither a log nor the duration of a lookup reveals
+/// anything about it.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub enum Credential {
     /// No key.
     #[default]
     None,
-    /// More than one key, or one that can't be anybody's.
+    /// More than one key, or one that can't belong to anybody.
     Unusable,
     /// A key.
     Key(KeyHash),
 }
 
-/// A keyed hash of a key. It means something within one process only.
+/// The keyed hash of a key. Its value is valid within one process only.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyHash(pub [u8; 16]);
 
@@ -27,37 +28,37 @@
     }
 }
 
-/// Names a team among daemons: a hash of its name.
+/// Identifies a team among daemons, by a hash of its name.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Debug)]
 pub struct TeamId(pub u64);
 
 impl TeamId {
-    /// The id of the team with this name.
+    /// Returns the id of the team with this name.
     #[must_use]
     pub fn of(name: &str) -> TeamId {
         TeamId(xxh3_64(name.as_bytes()))
     }
 }
 
-/// One team.
+/// A team of callers.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Team {
-    /// Its name, as endpoints are told it.
+    /// The team's name, as it is sent to endpoints.
     pub name: Arc<str>,
-    /// Its id.
+    /// The team's id.
     pub id: TeamId,
-    /// What it may use; none when it may use as much as there is.
+    /// The team's quota; `None` when its use isn't limited.
     pub quota: Option<Quota>,
 }
 
 impl Team {
-    /// A team without a quota.
+    /// Creates a team without a quota.
     #[must_use]
     pub fn new(name: &str) -> Team {
         Team { name: name.into(), id: TeamId::of(name), quota: None }
     }
 
-    /// With a quota.
+    /// Sets the quota.
     #[must_use]
     pub fn with_quota(mut self, quota: Quota) -> Team {
         self.quota = Some(quota);
@@ -65,25 +66,25 @@
     }
 }
 
-/// What a team may use, over all daemons together.
+/// How much a team may use, over all daemons together.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Quota {
-    /// Units a second; above 0.
+    /// Units per second; above 0.
     pub rate: f64,
-    /// Units that may be saved up.
+    /// Maximum number of unused units that accumulate.
     pub burst: f64,
-    /// What a unit is.
+    /// The unit.
     pub unit: QuotaUnit,
 }
 
-/// What is counted.
+/// The unit in which a quota is counted.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum QuotaUnit {
     /// Requests.
     Requests,
-    /// Tokens to be read and at most generated.
+    /// Tokens: the prompt's, and the maximum that may be generated.
     Tokens {
-        /// Those of a request that doesn't say them.
+        /// Number of tokens that a request counts as if it doesn't state them.
         unspecified: u32,
     },
 }
@@ -96,7 +97,8 @@
 }
 
 impl Teams {
-    /// With a team and its keys. A key that an earlier team has stays that team's.
+    /// Adds a team and its keys. A key that already belongs to an earlier team stays with that
+    /// team.
     #[must_use]
     pub fn with_team(mut self, team: Team, keys: impl IntoIterator<Item = KeyHash>) -> Teams {
         let team = Arc::new(team);
@@ -107,19 +109,19 @@
         self
     }
 
-    /// The team that has a key.
+    /// Returns the team that a key belongs to.
     #[must_use]
     pub fn find(&self, key: &KeyHash) -> Option<&Arc<Team>> {
         self.keys.get(key)
     }
 
-    /// A team's quota, if it has one.
+    /// Returns a team's quota, if it has one.
     #[must_use]
     pub fn quota(&self, id: TeamId) -> Option<Quota> {
         self.by_id.get(&id)?.quota
     }
 
-    /// A team.
+    /// Returns the team with this id.
     #[must_use]
     pub fn get(&self, id: TeamId) -> Option<&Arc<Team>> {
         self.by_id.get(&id)
--- a/crates/basilbank_forward/src/topic.rs
+++ b/crates/basilbank_forward/src/topic.rs
@@ -1,9 +1,10 @@
-//! What the store publishes. Each topic is read by a watch of its own, so that an endpoint's leaving,
-//! which is short and urgent, doesn't wait behind a configuration, which may be a megabyte.
+//! The topics that the store publishes. Each topic is read by a separate watch, so that the removal
+//! of an endpoint, which is short and urgent, doesn't wait behind a configuration, which may be a
+//! megabyte.
 
 use std::fmt::{self, Display, Formatter};
 
-/// One of the topics.
+/// A topic of the store.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Topic {
     /// The configuration.
@@ -13,10 +14,10 @@
 }
 
 impl Topic {
-    /// All of them.
+    /// All topics.
     pub const ALL: [Topic; 2] = [Topic::Routes, Topic::Endpoints];
 
-    /// The other one.
+    /// Returns the other topic.
     #[must_use]
     pub fn other(self) -> Topic {
         match self {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Its stable name.
+    /// Returns the topic's stable name.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -35,17 +36,17 @@
     }
 }
 
-/// A value for each topic.
+/// One value for each topic.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct PerTopic<T> {
-    /// The configuration's.
+    /// The value for the configuration.
     pub routes: T,
-    /// The list's.
+    /// The value for the list of endpoints.
     pub endpoints: T,
 }
 
 impl<T> PerTopic<T> {
-    /// A topic's value.
+    /// Returns a topic's value.
     pub fn get(&self, topic: Topic) -> &T {
         match topic {
             Topic::Routes => &self.routes,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A topic's value, to change it.
+    /// Returns a mutable reference to a topic's value.
     pub fn get_mut(&mut self, topic: Topic) -> &mut T {
         match topic {
             Topic::Routes => &mut self.routes,
@@ -62,37 +63,39 @@
     }
 }
 
-/// A moment in the store's history.
+/// A point in the store's history.
 ///
-/// A store that comes back from a copy of itself, some seconds old, gives the numbers since then out
-/// again, to other changes. Each time it does so its era rises, so that moments of one era come after
-/// all of those before it, whatever their numbers.
+/// A store that is restored from a copy, which is some seconds old, gives the numbers since the
+/// copy out again, to other changes. Each restore increments the era, so that all revisions of an
+/// era compare as newer than those of earlier eras, whatever their numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Revision {
-    /// How often the store has come back from a copy; 0 for a store that doesn't say.
+    /// Number of times that the store has been restored from a copy; 0 for a store that doesn't
+    /// state it.
     pub era: u64,
-    /// Its counter of changes, which starts above 0.
+    /// The store's change counter, which starts above 0.
     pub number: u64,
 }
 
 impl Revision {
-    /// Before anything was read.
+    /// The revision before anything has been read.
     pub const NONE: Revision = Revision { era: 0, number: 0 };
 
-    /// Nothing was read.
+    /// Returns whether nothing has been read.
     #[must_use]
     pub fn is_none(self) -> bool {
         self == Revision::NONE
     }
 
-    /// With the era in which its number was given out.
+    /// Sets the era in which the number was given out.
     #[must_use]
     pub fn with_era(self, era: u64) -> Revision {
         Revision { era, ..self }
     }
 
-    /// Follows the store. Within an era what is known doesn't go back with an answer that was late; a
-    /// reading of another era is of another history.
+    /// Advances to the revision of a read. Within an era the revision never goes back, since
+    /// answers can arrive late. A read of another era replaces it, as the store's history is a
+    /// different one.
     pub fn advance(&mut self, read: Revision) {
         *self = if read.era == self.era { read.max(*self) } else { read };
     }
@@ -113,26 +116,26 @@
     }
 }
 
-/// Where in the store's history a topic was read.
+/// The store's revisions at which a topic was read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Revisions {
     /// The store's revision: all changes up to it are known.
     pub store: Revision,
-    /// The revision of the last change of the topic that was read; 0 for none. It is what peers are
-    /// told: a watch on the topic has it at once, while the store's own revision may belong to another
-    /// topic, for which such a watch would wait in vain.
+    /// The revision of the topic's latest change that was read; 0 for none. Peers are sent this
+    /// one: a watch on the topic returns it at once, while `store` may be the revision of another
+    /// topic's change, for which such a watch would wait in vain.
     pub latest_change: Revision,
 }
 
 impl Revisions {
-    /// Read at a revision whose change was the topic's.
+    /// Creates the revisions of a read at which the topic itself has changed.
     #[must_use]
     pub fn at(revision: impl Into<Revision>) -> Revisions {
         let revision = revision.into();
         Revisions { store: revision, latest_change: revision }
     }
 
-    /// Read in this era. That nothing new was read stays so.
+    /// Sets the era of the read. If no change was read, `latest_change` stays empty.
     #[must_use]
     pub fn with_era(self, era: u64) -> Revisions {
         let latest_change = if self.latest_change.is_none() {
--- a/crates/basilbank_forward/src/tuning.rs
+++ b/crates/basilbank_forward/src/tuning.rs
@@ -1,106 +1,126 @@
-//! Constants of the decisions, in one place. Tests and experiments change them.
+//! The constants of the decisions. Tests and experiments change them.
 
 use std::time::Duration;
 
-/// All constants. Durations are on the monotonic clock.
+/// The constants of the decisions. Durations are measured on the monotonic clock.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Tuning {
-    /// Extra calls to a service, per call of its callers; the operator's bound for the whole fleet.
+    /// Maximum number of extra calls to a service per call of its callers; the operator's bound for
+    /// the whole fleet. Retries and hedges are extra calls.
     pub retry_ratio: f64,
-    /// How old the proof may be that no key was taken away, for calls that need one; none where no bound is
-    /// set.
+    /// Maximum age of the confirmation that the configuration in force is the newest, for calls
+    /// that need a key: a newer one may have revoked the key. `None` where no bound is set.
     pub max_confirmation_age: Option<Duration>,
-    /// The window of the retries' bound.
+    /// Window over which the bound on extra calls applies.
     pub retry_window: Duration,
-    /// Extra calls in a window besides, for the whole fleet.
+    /// Number of extra calls in a window that the whole fleet may make on top of the ratio.
     pub retry_slack: f64,
-    /// Shares of the slack when few daemons are known: twice a small site's.
+    /// Minimum number of shares into which the slack is divided when few daemons are known: twice
+    /// the number of daemons of a small site.
     pub min_slack_shares: f64,
-    /// The part of the ratio that is used. The rest covers calls that callers took back and windows
-    /// that don't fall on the buckets' borders.
+    /// Fraction of the ratio that is used. The rest covers calls that callers cancelled, and
+    /// windows that don't align with the buckets.
     pub retry_ratio_fraction: f64,
-    /// How long an endpoint is avoided after no connection could be made; doubled each time.
+    /// Time for which an endpoint is avoided after a failed connection; doubled for each further
+    /// failure.
     pub avoid_unreachable: Duration,
-    /// The longest such time. A crashed endpoint is off the list after three missed heartbeats.
+    /// Maximum time for which an unreachable endpoint is avoided. A crashed endpoint is removed
+    /// from the list after three missed heartbeats.
     pub max_avoid_unreachable: Duration,
-    /// How long an instance is avoided after another one answered at its address: until the list
-    /// has surely caught up.
+    /// Time for which an instance is avoided after another one answered at its address. The list
+    /// has certainly caught up by then.
     pub avoid_replaced: Duration,
-    /// How long an endpoint that was full is avoided: about one draft's end at a full endpoint.
+    /// Time for which an endpoint that was full is avoided: about the time until a completion ends
+    /// at a full endpoint.
     pub avoid_full: Duration,
-    /// The longest such time, for one that refuses again and again.
+    /// Maximum time for which an endpoint that refuses again and again is avoided.
     pub max_avoid_full: Duration,
-    /// Memory that is held with a slot. A slot with a token block is what makes the endpoint admit
-    /// the call; holding the whole prompt keeps memory idle that running calls could use.
+    /// Tokens of memory that are held with a slot. A slot with one token block is enough for the
+    /// endpoint to admit the call; holding memory for the whole prompt would keep it from running
+    /// calls that could use it.
     pub hold_tokens: u32,
-    /// Peers up to which the views of endpoints' room are true: each adds a millisecond to the time between two
-    /// datagrams, and beyond some tens of them others place drafts in that time.
+    /// Maximum number of peers with which a daemon's view of the endpoints' capacity is accurate.
+    /// Each peer adds a millisecond to the time between two datagrams, and with more than some tens
+    /// of peers other daemons place completions in that time.
     pub max_accurate_view_peers: usize,
-    /// Part of a decode endpoint's memory that is given to drafts, by the most that they are expected to
-    /// need at one moment.
+    /// Fraction of a decode endpoint's memory that is given to completions, measured at the maximum
+    /// that they are expected to need at one moment.
     pub memory_fraction: f64,
-    /// The same for drafts that can't be on time any more. While drafts come faster than they end, all
-    /// of them would wait equally long and all be late; with some of the memory kept from those that are
-    /// late anyway, the others find room at once.
+    /// Fraction of a decode endpoint's memory that is given to completions that can't be on time
+    /// any more. While completions arrive faster than they end, all of them would otherwise wait
+    /// equally long and all would be late. With some memory withheld from those that are late
+    /// anyway, the others find capacity at once.
     pub late_memory_fraction: f64,
-    /// Times the measured error of the callers' estimates that is kept free for drafts that grow longer:
-    /// with two, one moment in forty finds the memory short if errors fall like the bell curve.
+    /// Memory that is kept free for completions that grow longer than estimated, as a multiple of
+    /// the measured error of the callers' estimates. With two, one moment in forty runs out of
+    /// memory if errors are normally distributed.
     pub growth_margin: f64,
-    /// How long room is left to each draft of a peer that goes before: a datagram between data centres,
-    /// and the turns of two daemons on a part of a core.
+    /// Time for which free capacity is left to each peer's completion that is ahead in the queue.
+    /// It covers a datagram between data centres, and the processing of two daemons on a fraction
+    /// of a core.
     pub queue_step: Duration,
-    /// From a slot to the first token: a prompt's reading, and some wait for others'.
+    /// Expected time from a granted slot to the first token: reading a prompt, and some waiting for
+    /// the prompts of others.
     pub first_token_delay: Duration,
-    /// Decode endpoints that are asked for a slot before a draft waits.
+    /// Maximum number of decode endpoints that are asked for a slot before a completion waits.
     pub hold_tries: u32,
-    /// Pause before decode endpoints are asked again.
+    /// Pause before decode endpoints are asked for a slot again.
     pub hold_pause: Duration,
-    /// Limit of one call for a slot: some round trips between data centres.
+    /// Maximum time of one call for a slot: some round trips between data centres.
     pub hold_timeout: Duration,
-    /// Limit of one prefill, before the endpoint is asked whether it lives, besides twice what its
-    /// work should take.
+    /// Time to wait for a prefill before the endpoint is probed, in addition to twice the time that
+    /// its work should take.
     pub prefill_timeout: Duration,
-    /// Prompt tokens that a prefill endpoint reads in a second, until it has been measured.
+    /// Prompt tokens that a prefill endpoint reads per second, assumed until measurements show
+    /// otherwise.
     pub prefill_tokens_per_second: f64,
-    /// Part of the prefill rate at which a decode endpoint reads prompts between its tokens.
+    /// Speed at which a decode endpoint reads prompts between the tokens that it generates, as a
+    /// fraction of the speed of a prefill endpoint.
     pub local_prefill_fraction: f64,
-    /// How much sooner a decode endpoint must have read the prompt itself than the best prefill
-    /// endpoint: its reading slows the drafts that it decodes.
+    /// Minimum time by which a decode endpoint must finish reading a prompt earlier than the best
+    /// prefill endpoint to read it itself: reading slows the completions that it decodes.
     pub local_prefill_margin: Duration,
-    /// How long a daemon that has started with all others knows nobody's load: a heartbeat or two until
-    /// all have met, and the first prompts' reading.
+    /// Time for which a daemon that has started together with all others doesn't know anyone's
+    /// load: one or two heartbeats until all daemons have met, and the time to read the first
+    /// prompts.
     pub cold_start: Duration,
-    /// Wait for a stream that may go on elsewhere, before the endpoint is asked whether it lives.
+    /// Time to wait for the start of a stream that may continue elsewhere, before the endpoint is
+    /// probed.
     pub stream_timeout: Duration,
-    /// Silence of a stream that may go on elsewhere, before its endpoint is asked whether it lives. Callers leave a
-    /// stream after two seconds and more, and reading the prompt again takes a quarter of one.
+    /// Time for which a stream that may continue elsewhere may be silent before its endpoint is
+    /// probed. Callers abandon a stream after two seconds or more, and reading the prompt again
+    /// takes a quarter of a second.
     pub stall_timeout: Duration,
-    /// Added to a remote endpoint's expected time, so that equal ones in the own data centre win.
+    /// Added to the expected time of a remote endpoint, so that an equally good one in the own data
+    /// centre is preferred.
     pub remote_cost: Duration,
-    /// The longer queue that is taken at a prefill endpoint in the decode endpoint's data centre: a
-    /// KV cache between data centres takes the links twice as long.
+    /// Additional queueing time that is accepted at a prefill endpoint in the decode endpoint's
+    /// data centre: a KV cache that crosses data centres takes twice as long on the links.
     pub remote_kv_cost: Duration,
-    /// Kept between a KV cache's end and its use elsewhere: a transfer's start and a round trip.
+    /// Safety margin between the use of a KV cache elsewhere and its expiry: the start of a
+    /// transfer and a round trip.
     pub kv_margin: Duration,
-    /// A second endpoint is asked when the first has not answered an idempotent call for this part
-    /// of its target.
+    /// Fraction of a route's target time after which an unanswered idempotent call is sent to a
+    /// second endpoint.
     pub hedge_fraction: f64,
-    /// The own answer is given this long before the caller stops waiting, so that it arrives.
+    /// Time before the caller's deadline at which the router sends its own answer, so that it
+    /// arrives in time.
     pub answer_margin: Duration,
-    /// What a caller that was refused for want of room is told to wait: some drafts' ends.
+    /// Time that a caller refused for lack of capacity is told to wait: the time in which some
+    /// completions end.
     pub retry_after: Duration,
-    /// Longest wait of a watch by a daemon that hears nobody: an endpoint's leaving has to be known
-    /// within two seconds.
+    /// Maximum wait of a watch by a daemon without peers: the removal of an endpoint has to be
+    /// known within two seconds.
     pub solo_watch_wait: Duration,
-    /// Added to the wait for each daemon that is heard: at six, half a second passes on average until
-    /// one of them reads anew.
+    /// Time by which each peer extends the wait of a watch. With six peers, half a second passes on
+    /// average until one of the daemons reads again.
     pub watch_wait_per_peer: Duration,
-    /// Longest wait of a watch of endpoints.
+    /// Maximum wait of a watch of the endpoints.
     pub max_watch_wait: Duration,
-    /// How long entries that vanished while the store was away are kept after its return, so that
-    /// endpoints can register again.
+    /// Time for which endpoint records that disappeared during an outage of the store are kept
+    /// after its return, so that the endpoints can register again.
     pub return_grace: Duration,
-    /// The store counts as having been away after this long without an answer.
+    /// Time without an answer after which the store counts as having been unavailable.
     pub min_store_outage: Duration,
 }
 
