--- a/crates/basilbank/src/callers/connection.rs
+++ b/crates/basilbank/src/callers/connection.rs
@@ -17,7 +17,7 @@
     let terms = Terms {
         write_time: api.config.write_timeout,
         head_time: limits.header_timeout,
-        head_bytes: limits.headers,
+        head_bytes: limits.max_header_bytes,
     };
     let serving = Arc::clone(&api);
     let handle = move |request| {
--- a/crates/basilbank/src/callers/draft.rs
+++ b/crates/basilbank/src/callers/draft.rs
@@ -48,7 +48,8 @@
         };
         let envelope = Envelope::new(shape, &form.model, self.unix_seconds());
         let held = HeldDraft { prompt: form.prompt, given: Mutex::default() };
-        let (caller, replies) = self.callers.open_draft(held, self.config.limits.backlog);
+        let (caller, replies) =
+            self.callers.open_draft(held, self.config.limits.max_backlog_tokens);
         let call = Call {
             caller,
             key,
--- a/crates/basilbank/src/callers/server.rs
+++ b/crates/basilbank/src/callers/server.rs
@@ -60,7 +60,7 @@
             .block_on(TcpListener::bind(config.address))
             .with_context(|| format!("can't listen at {}", config.address))?;
         let address = listener.local_addr().context("the listener has no address")?;
-        let connections = u32::try_from(config.limits.connections).unwrap_or(u32::MAX);
+        let connections = u32::try_from(config.limits.max_connections).unwrap_or(u32::MAX);
         let permits = Arc::new(Semaphore::new(connections as usize));
         let (closing, closed) = watch::channel(false);
         let api = Arc::new(Api::new(config, events, callers, closed.clone()));
--- a/crates/basilbank/src/callers/service.rs
+++ b/crates/basilbank/src/callers/service.rs
@@ -126,7 +126,7 @@
     async fn serve(&self, request: Request<Incoming>) -> Result<Response<Outgoing>, ApiError> {
         let (head, body) = request.into_parts();
         let limits = &self.config.limits;
-        if limits.headers < header_bytes(&head.headers) {
+        if limits.max_header_bytes < header_bytes(&head.headers) {
             return Err(ApiError::edge(EdgeRefusal::HeadersTooLarge));
         }
         let route = route(&head.method, head.uri.path())?;
@@ -136,11 +136,11 @@
             Route::Models => self.models(&head.headers),
             Route::Model(name) => self.model(&head.headers, name),
             Route::Draft(shape) => {
-                let body = body::read(body, limits.body, limits.body_timeout).await?;
+                let body = body::read(body, limits.max_body_bytes, limits.body_timeout).await?;
                 self.draft(shape, &head.headers, &body).await
             }
             Route::Plain => {
-                let body = body::read(body, limits.body, limits.body_timeout).await?;
+                let body = body::read(body, limits.max_body_bytes, limits.body_timeout).await?;
                 self.plain(&head.method, &head.uri, &head.headers, body).await
             }
         }
--- a/crates/basilbank/src/daemon.rs
+++ b/crates/basilbank/src/daemon.rs
@@ -189,7 +189,7 @@
 ) -> Engine {
     let config = EngineConfig::new(local)
         .with_data_centre(&settings.data_centre)
-        .with_answer(settings.limits.answer);
+        .with_answer(settings.limits.max_answer_bytes);
     Engine::new(config, Arc::clone(callers), Arc::clone(published), feed.clone())
 }
 
--- a/crates/basilbank/src/platform.rs
+++ b/crates/basilbank/src/platform.rs
@@ -207,7 +207,7 @@
         for finding in &findings.items {
             log::warn!("{}", finding_line(texts.revision, finding));
         }
-        Err(findings.errors())
+        Err(findings.error_count())
     }
 
     fn get<T: DeserializeOwned>(
--- a/crates/basilbank/tests/callers_http/leaving.rs
+++ b/crates/basilbank/tests/callers_http/leaving.rs
@@ -77,7 +77,7 @@
 /// a closed window.
 #[test]
 fn a_caller_that_stops_reading_is_cut_off() {
-    let limits = ApiLimits { backlog: 64, ..ApiLimits::default() };
+    let limits = ApiLimits { max_backlog_tokens: 64, ..ApiLimits::default() };
     let config = config().with_limits(limits).with_write_timeout(Duration::from_millis(100));
     let edge = Edge::start(config);
     let mut client = edge.client();
--- a/crates/basilbank/tests/callers_http/limits.rs
+++ b/crates/basilbank/tests/callers_http/limits.rs
@@ -61,7 +61,7 @@
 /// unread, which resets the connection before the answer was read.
 #[test]
 fn an_oversized_body_is_refused_while_it_is_sent() {
-    let edge = limited(|l| l.body = 1000);
+    let edge = limited(|l| l.max_body_bytes = 1000);
     let mut client = edge.client();
     client.post("/v1/completions", "", &"x".repeat(2 << 20));
     client.refused(413, "too_large");
@@ -75,7 +75,7 @@
 
 #[test]
 fn oversized_headers_are_refused() {
-    let edge = limited(|l| l.headers = 1000);
+    let edge = limited(|l| l.max_header_bytes = 1000);
     let mut client = edge.client();
     client.post("/v1/completions", &format!("X-Long: {}\r\n", "x".repeat(1000)), "{}");
     client.refused(431, "headers_too_large");
@@ -88,7 +88,7 @@
 
 #[test]
 fn connections_over_the_limit_are_told_so() {
-    let edge = limited(|l| l.connections = 1);
+    let edge = limited(|l| l.max_connections = 1);
     let mut first = edge.client();
     let caller = edge.begin(&mut first, WHOLE);
     let mut second = edge.client();
--- a/crates/basilbank/tests/callers_http/page.rs
+++ b/crates/basilbank/tests/callers_http/page.rs
@@ -64,11 +64,11 @@
     let expected = format!(
         "{} MiB for a body, {} KiB for headers, {} seconds for headers to arrive and {} for a body, \
          {} connections.",
-        limits.body >> 20,
-        limits.headers >> 10,
+        limits.max_body_bytes >> 20,
+        limits.max_header_bytes >> 10,
         limits.header_timeout.as_secs(),
         limits.body_timeout.as_secs(),
-        limits.connections
+        limits.max_connections
     );
     assert!(PAGE.contains(&expected), "{expected}");
     let idle = format!("closed after {} seconds without", limits.header_timeout.as_secs());
--- a/crates/basilbank_cli/src/check.rs
+++ b/crates/basilbank_cli/src/check.rs
@@ -78,7 +78,7 @@
 
 fn open(name: &str) -> Result<File, Failure> {
     let text = read_file(name)?;
-    let kind = TextKind::of(&text);
+    let kind = TextKind::detect(&text);
     Ok(File { name: name.to_owned(), text, kind })
 }
 
--- a/crates/basilbank_config/src/catalogue.rs
+++ b/crates/basilbank_config/src/catalogue.rs
@@ -71,7 +71,7 @@
         across::check(&mut report, &parts);
     }
     let findings = report.finish();
-    let catalogue = (findings.errors() == 0).then(|| compile(revision, parts));
+    let catalogue = (findings.error_count() == 0).then(|| compile(revision, parts));
     CheckedCatalogue { catalogue, findings }
 }
 
--- a/crates/basilbank_config/src/document.rs
+++ b/crates/basilbank_config/src/document.rs
@@ -23,7 +23,7 @@
     /// What a text is, by the names of its fields. A text that can't be read counts as a document
     /// of the catalogue; it is rejected as either.
     #[must_use]
-    pub fn of(text: &str) -> TextKind {
+    pub fn detect(text: &str) -> TextKind {
         let mut report = Report::new(vec![Source { name: "", text }]);
         let Some(root) = syntax::root(&mut report, 0) else { return TextKind::Catalogue };
         if known(&CATALOGUE, &root) < known(&SETTINGS, &root) {
--- a/crates/basilbank_config/src/finding.rs
+++ b/crates/basilbank_config/src/finding.rs
@@ -56,7 +56,7 @@
 impl Findings {
     /// How many of the findings are errors.
     #[must_use]
-    pub fn errors(&self) -> usize {
+    pub fn error_count(&self) -> usize {
         self.items.iter().filter(|f| f.severity == Severity::Error).count()
     }
 
--- a/crates/basilbank_config/src/settings.rs
+++ b/crates/basilbank_config/src/settings.rs
@@ -59,31 +59,31 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ApiLimits {
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Bytes of a request's headers.
-    pub headers: usize,
+    pub max_header_bytes: usize,
     /// Connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time for a request's headers to arrive.
     pub header_timeout: Duration,
     /// Time for a request's body to arrive.
     pub body_timeout: Duration,
     /// Bytes of a plain service's answer.
-    pub answer: usize,
+    pub max_answer_bytes: usize,
     /// Tokens that wait for a slow caller.
-    pub backlog: usize,
+    pub max_backlog_tokens: usize,
 }
 
 impl Default for ApiLimits {
     fn default() -> ApiLimits {
         ApiLimits {
-            body: 1 << 20,
-            headers: 16 << 10,
-            connections: 1024,
+            max_body_bytes: 1 << 20,
+            max_header_bytes: 16 << 10,
+            max_connections: 1024,
             header_timeout: Duration::from_secs(5),
             body_timeout: Duration::from_secs(10),
-            answer: 8 << 20,
-            backlog: 8192,
+            max_answer_bytes: 8 << 20,
+            max_backlog_tokens: 8192,
         }
     }
 }
--- a/crates/basilbank_config/src/settings/read.rs
+++ b/crates/basilbank_config/src/settings/read.rs
@@ -26,7 +26,7 @@
             read(&mut report, &fields)
         });
         let findings = report.finish();
-        settings.filter(|_| findings.errors() == 0).ok_or(findings)
+        settings.filter(|_| findings.error_count() == 0).ok_or(findings)
     }
 }
 
@@ -93,13 +93,13 @@
 fn read_limits(fields: &Fields<'_, '_>) -> ApiLimits {
     let default = ApiLimits::default();
     ApiLimits {
-        body: fields.count("body_bytes").unwrap_or(default.body),
-        headers: fields.count("header_bytes").unwrap_or(default.headers),
-        connections: fields.count("connections").unwrap_or(default.connections),
+        max_body_bytes: fields.count("body_bytes").unwrap_or(default.max_body_bytes),
+        max_header_bytes: fields.count("header_bytes").unwrap_or(default.max_header_bytes),
+        max_connections: fields.count("connections").unwrap_or(default.max_connections),
         header_timeout: fields.millis("header_timeout_ms").unwrap_or(default.header_timeout),
         body_timeout: fields.millis("body_timeout_ms").unwrap_or(default.body_timeout),
-        answer: fields.count("answer_bytes").unwrap_or(default.answer),
-        backlog: fields.count("backlog_tokens").unwrap_or(default.backlog),
+        max_answer_bytes: fields.count("answer_bytes").unwrap_or(default.max_answer_bytes),
+        max_backlog_tokens: fields.count("backlog_tokens").unwrap_or(default.max_backlog_tokens),
     }
 }
 
--- a/crates/basilbank_config/tests/any_text.rs
+++ b/crates/basilbank_config/tests/any_text.rs
@@ -62,7 +62,7 @@
     fn damaged_texts_are_judged(text in damaged()) {
         let all = [document("a", &text), document("b", "{ \"teams\": [{ \"name\": \"x\" }] }")];
         let checked = check_catalogue(1, &all);
-        prop_assert_eq!(checked.catalogue.is_some(), checked.findings.errors() == 0);
+        prop_assert_eq!(checked.catalogue.is_some(), checked.findings.error_count() == 0);
         for finding in &checked.findings.items {
             let line = finding.file.eq("a").then(|| text.split('\n').nth(finding.line - 1));
             if let Some(line) = line {
@@ -74,8 +74,8 @@
     /// The same for texts that are nothing at all.
     #[test]
     fn any_texts_are_judged(text in ".{0,200}") {
-        let errors = check_catalogue(1, &[document("a", &text)]).findings.errors();
-        prop_assert!(TextKind::of(&text) == TextKind::Catalogue || 0 < errors);
+        let errors = check_catalogue(1, &[document("a", &text)]).findings.error_count();
+        prop_assert!(TextKind::detect(&text) == TextKind::Catalogue || 0 < errors);
         prop_assert!(Settings::parse("s", &text).is_err());
     }
 }
--- a/crates/basilbank_config/tests/catalogue_findings.rs
+++ b/crates/basilbank_config/tests/catalogue_findings.rs
@@ -163,7 +163,7 @@
     let broken = &SOUND[..SOUND.len() - 1];
     let entries = "{ \"entries\": [{ \"name\": \"x\", \"owner\": \"fitters\", \"class\": \"draft\", \"model\": \"writer\" }] }";
     let findings = check_catalogue(1, &documents(&[entries, broken])).findings;
-    assert_eq!(findings.errors(), 1);
+    assert_eq!(findings.error_count(), 1);
     assert_eq!(findings.items[0].file, "catalogue/1");
 }
 
--- a/crates/basilbank_config/tests/operators_page.rs
+++ b/crates/basilbank_config/tests/operators_page.rs
@@ -30,7 +30,7 @@
     assert!(3 < blocks.len());
     assert_eq!(findings(&blocks[..1]), "");
     for block in &blocks[1..] {
-        match TextKind::of(block) {
+        match TextKind::detect(block) {
             TextKind::Catalogue => assert_eq!(findings(&[blocks[0], block]), "", "{block}"),
             TextKind::Settings => {
                 let parsed = Settings::parse("block", block);
