--- a/crates/basilbank_config/examples/parse_10k.rs
+++ b/crates/basilbank_config/examples/parse_10k.rs
@@ -12,27 +12,28 @@
 use basilbank_config::{Document, diff, key_hash, parse_catalogue};
 
 const TEAMS: usize = 10_000;
-const TEAMS_EACH: usize = 2_000;
+const TEAMS_PER_DOCUMENT: usize = 2_000;
 const MODELS: usize = 5;
 const ENDPOINTS: usize = 840;
 const ROUNDS: usize = 5;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let documents = documents()?;
+    let documents = catalogue_documents()?;
     let bytes: usize = documents.iter().filter_map(|d| d.text.as_ref()).map(String::len).sum();
     let largest = documents.iter().filter_map(|d| d.text.as_ref()).map(String::len).max();
-    let before = peak_memory();
+    let peak_before = peak_memory_kb();
     drop(parse_catalogue(1, &documents)?);
-    let peak = peak_memory() - before;
-    let (parse, catalogue) = timed(|| parse_catalogue(1, &documents));
+    let peak_kb = peak_memory_kb() - peak_before;
+    let (parse_time, catalogue) = median_time(|| parse_catalogue(1, &documents));
     let catalogue = catalogue?;
     let mut changed = catalogue.clone();
     for entry in &mut changed.entries {
         entry.limits.requests += 1.0;
     }
-    let (compare, changes) = timed(|| diff(&catalogue, &changed));
-    let wrong = misspelt(&documents);
-    let (reject, findings) = timed(|| parse_catalogue(1, &wrong).err().map_or(0, |f| f.len()));
+    let (diff_time, changes) = median_time(|| diff(&catalogue, &changed));
+    let invalid = with_unknown_class(&documents);
+    let (reject_time, findings) =
+        median_time(|| parse_catalogue(1, &invalid).err().map_or(0, |f| f.len()));
     let mut out = io::stdout().lock();
     writeln!(out, "documents={}", documents.len())?;
     writeln!(out, "bytes={bytes}")?;
@@ -40,28 +41,28 @@
     writeln!(out, "teams={}", catalogue.teams.len())?;
     writeln!(out, "entries={}", catalogue.entries.len())?;
     writeln!(out, "endpoints={}", catalogue.endpoints.len())?;
-    writeln!(out, "parse_ms={:.1}", ms(parse))?;
-    writeln!(out, "parse_peak_kb={peak}")?;
+    writeln!(out, "parse_ms={:.1}", as_millis(parse_time))?;
+    writeln!(out, "parse_peak_kb={peak_kb}")?;
     writeln!(out, "changes={}", changes.len())?;
-    writeln!(out, "diff_ms={:.1}", ms(compare))?;
+    writeln!(out, "diff_ms={:.1}", as_millis(diff_time))?;
     writeln!(out, "findings={findings}")?;
-    writeln!(out, "reject_ms={:.1}", ms(reject))?;
+    writeln!(out, "reject_ms={:.1}", as_millis(reject_time))?;
     Ok(())
 }
 
 /// The process's largest memory so far in kilobytes; 0 where the system does not say.
-fn peak_memory() -> u64 {
+fn peak_memory_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-fn ms(took: Duration) -> f64 {
-    took.as_secs_f64() * 1000.0
+fn as_millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1000.0
 }
 
 /// The median time of some rounds, and the last round's result.
-fn timed<T>(mut run: impl FnMut() -> T) -> (Duration, T) {
+fn median_time<T>(mut run: impl FnMut() -> T) -> (Duration, T) {
     let mut times = Vec::new();
     let mut round = || {
         let start = Instant::now();
@@ -78,9 +79,11 @@
 }
 
 /// Each entry names a class that isn't there.
-fn misspelt(documents: &[Document]) -> Vec<Document> {
-    let wrong = |text: &String| text.replace("\"class\": \"draft\"", "\"class\": \"drafd\"");
-    let document = |d: &Document| Document { text: d.text.as_ref().map(wrong), ..d.clone() };
+fn with_unknown_class(documents: &[Document]) -> Vec<Document> {
+    let misspell_class =
+        |text: &String| text.replace("\"class\": \"draft\"", "\"class\": \"drafd\"");
+    let document =
+        |d: &Document| Document { text: d.text.as_ref().map(misspell_class), ..d.clone() };
     documents.iter().map(document).collect()
 }
 
@@ -88,17 +91,17 @@
     Document { key: key.to_owned(), text: Some(text), revision: 1 }
 }
 
-fn documents() -> Result<Vec<Document>, std::fmt::Error> {
-    let mut all = vec![document("catalogue/models", models()?)];
-    all.push(document("catalogue/endpoints", endpoints()?));
-    for shard in 0..TEAMS / TEAMS_EACH {
-        let (key, text) = (format!("catalogue/teams-{shard}"), teams(shard)?);
+fn catalogue_documents() -> Result<Vec<Document>, std::fmt::Error> {
+    let mut all = vec![document("catalogue/models", models_text()?)];
+    all.push(document("catalogue/endpoints", endpoints_text()?));
+    for shard in 0..TEAMS / TEAMS_PER_DOCUMENT {
+        let (key, text) = (format!("catalogue/teams-{shard}"), teams_text(shard)?);
         all.push(document(&key, text));
     }
     Ok(all)
 }
 
-fn models() -> Result<String, std::fmt::Error> {
+fn models_text() -> Result<String, std::fmt::Error> {
     let mut text = String::from(
         "{ \"classes\": [{ \"name\": \"draft\", \"ttft_ms\": 340, \"tbt_ms\": 44, \"wait_ms\": 2000 }],\n\"models\": [",
     );
@@ -112,7 +115,7 @@
     Ok(text)
 }
 
-fn endpoints() -> Result<String, std::fmt::Error> {
+fn endpoints_text() -> Result<String, std::fmt::Error> {
     let mut text = String::from("{ \"endpoints\": [\n");
     for i in 0..ENDPOINTS {
         let (role, slots) = if i % 3 == 0 { ("prefill", 2) } else { ("decode", 20) };
@@ -131,8 +134,8 @@
     Ok(text)
 }
 
-fn teams(shard: usize) -> Result<String, std::fmt::Error> {
-    let range = shard * TEAMS_EACH..(shard + 1) * TEAMS_EACH;
+fn teams_text(shard: usize) -> Result<String, std::fmt::Error> {
+    let range = shard * TEAMS_PER_DOCUMENT..(shard + 1) * TEAMS_PER_DOCUMENT;
     let mut text = String::from("{ \"teams\": [\n");
     for i in range.clone() {
         let hash = key_hash(&format!("key of account {i}"));
--- a/crates/basilbank_config/examples/reference.rs
+++ b/crates/basilbank_config/examples/reference.rs
@@ -8,10 +8,10 @@
 
 fn main() -> io::Result<()> {
     let mut out = io::stdout().lock();
-    for (kind, section) in [("catalogue", &CATALOGUE), ("settings", &SETTINGS)] {
-        for (path, section) in section.walk() {
-            let title = if path.is_empty() { kind } else { &path };
-            writeln!(out, "### `{title}`\n\n{}", section.table())?;
+    for (name, schema) in [("catalogue", &CATALOGUE), ("settings", &SETTINGS)] {
+        for (path, schema) in schema.with_nested() {
+            let title = if path.is_empty() { name } else { &path };
+            writeln!(out, "### `{title}`\n\n{}", schema.markdown_table())?;
         }
     }
     Ok(())
--- a/crates/basilbank_config/src/catalogue.rs
+++ b/crates/basilbank_config/src/catalogue.rs
@@ -1,7 +1,7 @@
 //! Checks the catalogue's documents and compiles them.
 
-mod across;
-mod parts;
+mod cross_checks;
+mod items;
 mod read;
 mod schema;
 
@@ -10,17 +10,17 @@
 
 pub use self::schema::CATALOGUE;
 use self::{
-    parts::{Parts, Placed},
+    items::{Located, ParsedItems},
     read::read_document,
 };
 use crate::{
     finding::Findings,
-    report::{Report, Source, Spot},
+    report::{Position, Report, Source},
     syntax,
 };
 
 /// Most bytes of one document; the platform holds no larger values.
-pub const MAX_DOCUMENT: usize = 1_000_000;
+pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
 /// What a check of a catalogue comes to.
 #[derive(Clone, PartialEq, Debug)]
@@ -54,49 +54,49 @@
         .collect();
     sources.sort_by_key(|s| (s.name, s.text));
     let mut report = Report::new(sources.clone());
-    let mut parts = Parts::default();
-    let mut unread = false;
+    let mut items = ParsedItems::default();
+    let mut has_unreadable_document = false;
     for (file, source) in sources.iter().enumerate() {
         check_size(&mut report, file, source.text);
-        match syntax::root(&mut report, file) {
-            Some(root) => read_document(&mut report, &mut parts, file, &root),
-            None => unread = true,
+        match syntax::parse_root(&mut report, file) {
+            Some(root) => read_document(&mut report, &mut items, file, &root),
+            None => has_unreadable_document = true,
         }
     }
-    parts.seal(&mut report);
-    if !unread {
+    items.check_names(&mut report);
+    if !has_unreadable_document {
         // What a document that can't be read holds is not known, so what others say of it is not
         // judged: each reference into it would be a finding of its own.
-        parts.resolve(&mut report);
-        across::check(&mut report, &parts);
+        items.check_references(&mut report);
+        cross_checks::check_all(&mut report, &items);
     }
     let findings = report.finish();
-    let catalogue = (findings.error_count() == 0).then(|| compile(revision, parts));
+    let catalogue = (findings.error_count() == 0).then(|| compile(revision, items));
     CheckedCatalogue { catalogue, findings }
 }
 
 fn check_size(report: &mut Report<'_>, file: usize, text: &str) {
-    if MAX_DOCUMENT < text.len() {
-        let message = format!("the document has {} bytes, over {MAX_DOCUMENT}", text.len());
+    if MAX_DOCUMENT_BYTES < text.len() {
+        let message = format!("the document has {} bytes, over {MAX_DOCUMENT_BYTES}", text.len());
         let help = "split it: all documents together are one catalogue";
-        report.error(Spot { file, start: 0 }, message, help);
+        report.error(Position { file, offset: 0 }, message, help);
     }
 }
 
-fn compile(revision: u64, parts: Parts) -> Catalogue {
+fn compile(revision: u64, items: ParsedItems) -> Catalogue {
     Catalogue {
         revision,
-        teams: sorted(parts.teams, |t| &t.name),
-        classes: sorted(parts.classes, |c| &c.name),
-        models: sorted(parts.models, |m| &m.name),
-        services: sorted(parts.services, |s| &s.name),
-        entries: sorted(parts.entries, |e| &e.name),
-        endpoints: sorted(parts.endpoints, |e| &e.name),
-        weight_rate: parts.weight_rate.map_or(0, |rate| rate.value),
+        teams: sort_by_name(items.teams, |t| &t.name),
+        classes: sort_by_name(items.classes, |c| &c.name),
+        models: sort_by_name(items.models, |m| &m.name),
+        services: sort_by_name(items.services, |s| &s.name),
+        entries: sort_by_name(items.entries, |e| &e.name),
+        endpoints: sort_by_name(items.endpoints, |e| &e.name),
+        weight_rate: items.weight_rate.map_or(0, |rate| rate.value),
     }
 }
 
-fn sorted<T>(items: Vec<Placed<T>>, name: impl Fn(&T) -> &str) -> Vec<T> {
+fn sort_by_name<T>(items: Vec<Located<T>>, name: impl Fn(&T) -> &str) -> Vec<T> {
     let mut items: Vec<T> = items.into_iter().map(|item| item.value).collect();
     items.sort_by(|a, b| name(a).cmp(name(b)));
     items
--- a/crates/basilbank_config/src/catalogue/parts.rs
+++ b/crates/basilbank_config/src/catalogue/items.rs
@@ -5,17 +5,17 @@
 };
 
 use crate::{
-    names::{Name, Names},
-    report::{Report, Spot},
+    names::{Name, NameTable},
+    report::{Position, Report},
 };
 
 /// A thing and the place that findings about it point at.
 #[derive(Clone, Debug)]
-pub(super) struct Placed<T> {
+pub(super) struct Located<T> {
     /// The thing.
     pub value: T,
     /// Where.
-    pub spot: Spot,
+    pub pos: Position,
 }
 
 /// A team's key.
@@ -29,52 +29,52 @@
 
 /// The names of one kind, and what refers to them.
 #[derive(Debug)]
-pub(super) struct Scope {
+pub(super) struct NameScope {
     /// Names given.
-    pub names: Names,
+    pub names: NameTable,
     /// References made.
     pub references: Vec<Name>,
 }
 
 /// All parts read so far. A thing with a finding is left out, but its name is known.
 #[derive(Debug)]
-pub(super) struct Parts {
+pub(super) struct ParsedItems {
     /// Teams.
-    pub teams: Vec<Placed<Team>>,
+    pub teams: Vec<Located<Team>>,
     /// Classes of service.
-    pub classes: Vec<Placed<Class>>,
+    pub classes: Vec<Located<Class>>,
     /// Models.
-    pub models: Vec<Placed<ModelSpec>>,
+    pub models: Vec<Located<ModelSpec>>,
     /// Services, each at its prefix.
-    pub services: Vec<Placed<Service>>,
+    pub services: Vec<Located<Service>>,
     /// Entries, each at its owed share, or its start when there is none.
-    pub entries: Vec<Placed<Entry>>,
+    pub entries: Vec<Located<Entry>>,
     /// Endpoints, each at its address.
-    pub endpoints: Vec<Placed<Endpoint>>,
+    pub endpoints: Vec<Located<Endpoint>>,
     /// The weight store's rate.
-    pub weight_rate: Option<Placed<u64>>,
+    pub weight_rate: Option<Located<u64>>,
     /// All teams' keys.
-    pub keys: Vec<Placed<TeamKey>>,
+    pub keys: Vec<Located<TeamKey>>,
     /// Names of teams.
-    pub team_names: Scope,
+    pub team_names: NameScope,
     /// Names of classes.
-    pub class_names: Scope,
+    pub class_names: NameScope,
     /// Names of models.
-    pub model_names: Scope,
+    pub model_names: NameScope,
     /// Names of services.
-    pub service_names: Scope,
+    pub service_names: NameScope,
     /// Names of entries.
-    pub entry_names: Names,
+    pub entry_names: NameTable,
     /// Names of endpoints.
-    pub endpoint_names: Names,
+    pub endpoint_names: NameTable,
     /// Names of data centres.
-    pub data_centres: Names,
+    pub data_centres: NameTable,
 }
 
-impl Default for Parts {
-    fn default() -> Parts {
-        let scope = |noun| Scope { names: Names::new(noun), references: Vec::new() };
-        Parts {
+impl Default for ParsedItems {
+    fn default() -> ParsedItems {
+        let scope = |noun| NameScope { names: NameTable::new(noun), references: Vec::new() };
+        ParsedItems {
             teams: Vec::new(),
             classes: Vec::new(),
             models: Vec::new(),
@@ -87,38 +87,38 @@
             class_names: scope("class"),
             model_names: scope("model"),
             service_names: scope("service"),
-            entry_names: Names::new("entry"),
-            endpoint_names: Names::new("endpoint"),
-            data_centres: Names::new("data centre"),
+            entry_names: NameTable::new("entry"),
+            endpoint_names: NameTable::new("endpoint"),
+            data_centres: NameTable::new("data centre"),
         }
     }
 }
 
-impl Parts {
+impl ParsedItems {
     /// Reports names that clash, and makes references resolvable.
-    pub fn seal(&mut self, report: &mut Report<'_>) {
-        self.team_names.names.seal(report);
-        self.class_names.names.seal(report);
-        self.model_names.names.seal(report);
-        self.service_names.names.seal(report);
-        self.entry_names.seal(report);
-        self.endpoint_names.seal(report);
-        self.data_centres.seal_shared(report);
+    pub fn check_names(&mut self, report: &mut Report<'_>) {
+        self.team_names.names.sort_and_check_unique(report);
+        self.class_names.names.sort_and_check_unique(report);
+        self.model_names.names.sort_and_check_unique(report);
+        self.service_names.names.sort_and_check_unique(report);
+        self.entry_names.sort_and_check_unique(report);
+        self.endpoint_names.sort_and_check_unique(report);
+        self.data_centres.sort_and_check_shared(report);
     }
 
     /// Reports references to what is not there.
-    pub fn resolve(&self, report: &mut Report<'_>) {
+    pub fn check_references(&self, report: &mut Report<'_>) {
         let scopes = [&self.team_names, &self.class_names, &self.model_names, &self.service_names];
-        for Scope { names, references } in scopes {
-            names.resolve(report, references);
+        for NameScope { names, references } in scopes {
+            names.check_references(report, references);
         }
     }
 
     /// A target's kind and name, for messages.
     pub fn target_name(&self, target: EntryTarget) -> String {
         let (noun, name) = match target {
-            EntryTarget::Model(id) => ("model", self.model_names.names.text(id.0)),
-            EntryTarget::Service(id) => ("service", self.service_names.names.text(id.0)),
+            EntryTarget::Model(id) => ("model", self.model_names.names.name_of(id.0)),
+            EntryTarget::Service(id) => ("service", self.service_names.names.name_of(id.0)),
         };
         format!("{noun} \"{}\"", name.unwrap_or_default())
     }
--- a/crates/basilbank_config/src/catalogue/read.rs
+++ b/crates/basilbank_config/src/catalogue/read.rs
@@ -11,115 +11,125 @@
 use jsonc_parser::ast::Object;
 
 use super::{
-    parts::{Parts, Placed, Scope, TeamKey},
+    items::{Located, NameScope, ParsedItems, TeamKey},
     schema::{CATALOGUE, CLASS, ENDPOINT, ENTRY, MODEL, SERVICE, TEAM},
 };
-use crate::{fields::Fields, key::parse_hash, names::Name, report::Report, schema::Section};
+use crate::{
+    fields::Fields, key::parse_key_hash, names::Name, report::Report, schema::ObjectSchema,
+};
 
 /// Blocks of the prefix cache have this many tokens where a model does not say.
-const BLOCK_TOKENS: u32 = 16;
+const DEFAULT_BLOCK_TOKENS: u32 = 16;
 
 /// Methods whose calls may be repeated where a service does not say.
-const REPEATABLE: [&str; 2] = ["GET", "HEAD"];
+const DEFAULT_REPEATABLE_METHODS: [&str; 2] = ["GET", "HEAD"];
 
 /// Paths that are the router's own.
-const OWN_PREFIX: &str = "/v1/";
+const ROUTER_PATH_PREFIX: &str = "/v1/";
 
 /// Reads all that a document holds.
 pub(super) fn read_document(
     report: &mut Report<'_>,
-    parts: &mut Parts,
+    items: &mut ParsedItems,
     file: usize,
     root: &Object<'_>,
 ) {
-    let top = Fields::new(report, file, &CATALOGUE, root);
-    let mut each = |list: &str, section: &'static Section, read: ReadFn| {
-        for object in top.objects(list) {
-            let fields = Fields::new(report, file, section, object);
+    let root_fields = Fields::new(report, file, &CATALOGUE, root);
+    let mut read_list = |list: &str, schema: &'static ObjectSchema, read: ReadItem| {
+        for object in root_fields.object_list(list) {
+            let fields = Fields::new(report, file, schema, object);
             // A thing with a finding is left out: nothing is compiled any more, and checks across
             // things would report follow-ups of what is already reported.
-            let _ = read(report, parts, &fields);
+            let _ = read(report, items, &fields);
         }
     };
-    each("teams", &TEAM, read_team);
-    each("classes", &CLASS, read_class);
-    each("models", &MODEL, read_model);
-    each("services", &SERVICE, read_service);
-    each("entries", &ENTRY, read_entry);
-    each("endpoints", &ENDPOINT, read_endpoint);
-    read_weight_store(report, parts, &top);
+    read_list("teams", &TEAM, read_team);
+    read_list("classes", &CLASS, read_class);
+    read_list("models", &MODEL, read_model);
+    read_list("services", &SERVICE, read_service);
+    read_list("entries", &ENTRY, read_entry);
+    read_list("endpoints", &ENDPOINT, read_endpoint);
+    read_weight_store(report, items, &root_fields);
 }
 
-type ReadFn = fn(&mut Report<'_>, &mut Parts, &Fields<'_, '_>) -> Option<()>;
+type ReadItem = fn(&mut Report<'_>, &mut ParsedItems, &Fields<'_, '_>) -> Option<()>;
 
-fn read_team(report: &mut Report<'_>, parts: &mut Parts, fields: &Fields<'_, '_>) -> Option<()> {
+fn read_team(
+    report: &mut Report<'_>,
+    items: &mut ParsedItems,
+    fields: &Fields<'_, '_>,
+) -> Option<()> {
     let name = fields.text("name")?;
     let id = TeamId::of(name);
-    parts.team_names.names.add(id.0, name, fields.spot_of("name"));
-    let keys = read_keys(report, parts, fields, name);
+    items.team_names.names.add(id.0, name, fields.pos_of("name"));
+    let keys = read_keys(report, items, fields, name);
     let team = Team { id, name: name.to_owned(), keys };
-    parts.teams.push(Placed { value: team, spot: fields.spot() });
+    items.teams.push(Located { value: team, pos: fields.pos() });
     Some(())
 }
 
 fn read_keys(
     report: &mut Report<'_>,
-    parts: &mut Parts,
+    items: &mut ParsedItems,
     fields: &Fields<'_, '_>,
     team: &str,
 ) -> Vec<KeyHash> {
     let mut keys = Vec::new();
-    for (text, spot) in fields.texts("keys").unwrap_or_default() {
-        let Some(hash) = parse_hash(text) else {
+    for (text, pos) in fields.text_list("keys").unwrap_or_default() {
+        let Some(hash) = parse_key_hash(text) else {
             // The text may be a key that was put here by mistake, so it isn't repeated.
             let message = "a key's hash is not 64 hex digits";
-            report.error(spot, message, "write what `basilbank hash-key` prints for the key");
+            report.error(pos, message, "write what `basilbank hash-key` prints for the key");
             continue;
         };
         keys.push(hash);
         let key = TeamKey { hash, team: team.to_owned() };
-        parts.keys.push(Placed { value: key, spot });
+        items.keys.push(Located { value: key, pos });
     }
     keys
 }
 
-fn read_class(_: &mut Report<'_>, parts: &mut Parts, fields: &Fields<'_, '_>) -> Option<()> {
+fn read_class(_: &mut Report<'_>, items: &mut ParsedItems, fields: &Fields<'_, '_>) -> Option<()> {
     let name = fields.text("name")?;
     let id = ClassId::of(name);
-    parts.class_names.names.add(id.0, name, fields.spot_of("name"));
+    items.class_names.names.add(id.0, name, fields.pos_of("name"));
     let class = Class {
         id,
         name: name.to_owned(),
         ttft: fields.millis("ttft_ms")?,
         tbt: fields.millis("tbt_ms").unwrap_or(Duration::ZERO),
         max_wait: fields.millis("wait_ms").unwrap_or(Duration::ZERO),
-        priority: fields.count("priority").unwrap_or(0),
+        priority: fields.integer_as("priority").unwrap_or(0),
     };
-    parts.classes.push(Placed { value: class, spot: fields.spot() });
+    items.classes.push(Located { value: class, pos: fields.pos() });
     Some(())
 }
 
-fn read_model(_: &mut Report<'_>, parts: &mut Parts, fields: &Fields<'_, '_>) -> Option<()> {
+fn read_model(_: &mut Report<'_>, items: &mut ParsedItems, fields: &Fields<'_, '_>) -> Option<()> {
     let name = fields.text("name")?;
     let id = ModelId::of(name);
-    parts.model_names.names.add(id.0, name, fields.spot_of("name"));
+    items.model_names.names.add(id.0, name, fields.pos_of("name"));
     let model = ModelSpec {
         id,
         name: name.to_owned(),
         version: fields.text("version")?.to_owned(),
         adapter: fields.text("adapter").unwrap_or_default().to_owned(),
-        weight_bytes: fields.whole("weight_bytes")?,
-        token_bytes: fields.whole("kv_bytes_per_token")?,
-        block_tokens: fields.count("block_tokens").unwrap_or(BLOCK_TOKENS),
+        weight_bytes: fields.integer("weight_bytes")?,
+        token_bytes: fields.integer("kv_bytes_per_token")?,
+        block_tokens: fields.integer_as("block_tokens").unwrap_or(DEFAULT_BLOCK_TOKENS),
     };
-    parts.models.push(Placed { value: model, spot: fields.spot() });
+    items.models.push(Located { value: model, pos: fields.pos() });
     Some(())
 }
 
-fn read_service(report: &mut Report<'_>, parts: &mut Parts, fields: &Fields<'_, '_>) -> Option<()> {
+fn read_service(
+    report: &mut Report<'_>,
+    items: &mut ParsedItems,
+    fields: &Fields<'_, '_>,
+) -> Option<()> {
     let name = fields.text("name")?;
     let id = ServiceId::of(name);
-    parts.service_names.names.add(id.0, name, fields.spot_of("name"));
+    items.service_names.names.add(id.0, name, fields.pos_of("name"));
     let prefix = read_prefix(report, fields)?;
     let service = Service {
         id,
@@ -127,37 +137,41 @@
         path_prefix: prefix,
         repeatable_methods: read_methods(report, fields),
     };
-    parts.services.push(Placed { value: service, spot: fields.spot_of("prefix") });
+    items.services.push(Located { value: service, pos: fields.pos_of("prefix") });
     Some(())
 }
 
 fn read_prefix(report: &mut Report<'_>, fields: &Fields<'_, '_>) -> Option<String> {
     let prefix = fields.text("prefix")?;
-    let spot = fields.spot_of("prefix");
-    let path = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#' | '%' | '"');
-    let framed = prefix.starts_with('/') && prefix.ends_with('/');
-    if !framed || prefix.contains("//") || prefix.len() < 3 || !prefix.chars().all(path) {
+    let pos = fields.pos_of("prefix");
+    let is_path_char = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#' | '%' | '"');
+    let has_slashes = prefix.starts_with('/') && prefix.ends_with('/');
+    if !has_slashes
+        || prefix.contains("//")
+        || prefix.len() < 3
+        || !prefix.chars().all(is_path_char)
+    {
         let help = "write a path that starts and ends with '/', for example \"/desk/\"";
-        report.error(spot, format!("\"prefix\" can't be {prefix:?}"), help);
+        report.error(pos, format!("\"prefix\" can't be {prefix:?}"), help);
         return None;
     }
-    if prefix.starts_with(OWN_PREFIX) {
-        let message = format!("paths under {OWN_PREFIX} are the router's own");
-        report.error(spot, message, "write another prefix, for example \"/desk/\"");
+    if prefix.starts_with(ROUTER_PATH_PREFIX) {
+        let message = format!("paths under {ROUTER_PATH_PREFIX} are the router's own");
+        report.error(pos, message, "write another prefix, for example \"/desk/\"");
         return None;
     }
     Some(prefix.to_owned())
 }
 
 fn read_methods(report: &mut Report<'_>, fields: &Fields<'_, '_>) -> Vec<String> {
-    let Some(methods) = fields.texts("repeatable") else {
-        return REPEATABLE.map(str::to_owned).to_vec();
+    let Some(methods) = fields.text_list("repeatable") else {
+        return DEFAULT_REPEATABLE_METHODS.map(str::to_owned).to_vec();
     };
     let mut all = Vec::with_capacity(methods.len());
-    for (method, spot) in methods {
+    for (method, pos) in methods {
         if method.is_empty() || !method.chars().all(|c| c.is_ascii_uppercase()) {
             let message = format!("{method:?} is not a method");
-            report.error(spot, message, "write it in upper case, for example \"GET\"");
+            report.error(pos, message, "write it in upper case, for example \"GET\"");
         }
         all.push(method.to_owned());
     }
@@ -166,18 +180,22 @@
     all
 }
 
-fn read_entry(report: &mut Report<'_>, parts: &mut Parts, fields: &Fields<'_, '_>) -> Option<()> {
+fn read_entry(
+    report: &mut Report<'_>,
+    items: &mut ParsedItems,
+    fields: &Fields<'_, '_>,
+) -> Option<()> {
     let id = EntryId::of(fields.text("name").unwrap_or_default());
     if let Some(name) = fields.text("name") {
-        parts.entry_names.add(id.0, name, fields.spot_of("name"));
+        items.entry_names.add(id.0, name, fields.pos_of("name"));
     }
-    let owner = refer(&mut parts.team_names, fields, "owner", |name| TeamId::of(name).0);
-    let class = refer(&mut parts.class_names, fields, "class", |name| ClassId::of(name).0);
-    let target = read_target(report, parts, fields);
+    let owner = read_reference(&mut items.team_names, fields, "owner", |name| TeamId::of(name).0);
+    let class = read_reference(&mut items.class_names, fields, "class", |name| ClassId::of(name).0);
+    let target = read_target(report, items, fields);
     let limits = fields.object(report, "limits");
-    let spot = match &limits {
-        Some(limits) if limits.has("owed") => limits.spot_of("owed"),
-        _ => fields.spot(),
+    let pos = match &limits {
+        Some(limits) if limits.has_field("owed") => limits.pos_of("owed"),
+        _ => fields.pos(),
     };
     let entry = Entry {
         id,
@@ -187,7 +205,7 @@
         target: target?,
         limits: limits.map(|l| read_limits(&l)).unwrap_or_default(),
     };
-    parts.entries.push(Placed { value: entry, spot });
+    items.entries.push(Located { value: entry, pos });
     Some(())
 }
 
@@ -195,26 +213,26 @@
     Limits {
         requests: fields.number("requests_per_s").unwrap_or(0.0),
         tokens: fields.number("tokens_per_s").unwrap_or(0.0),
-        concurrent: fields.count("concurrent").unwrap_or(0),
+        concurrent: fields.integer_as("concurrent").unwrap_or(0),
         owed: fields.number("owed").unwrap_or(0.0),
     }
 }
 
 fn read_endpoint(
     report: &mut Report<'_>,
-    parts: &mut Parts,
+    items: &mut ParsedItems,
     fields: &Fields<'_, '_>,
 ) -> Option<()> {
     let id = EndpointId::of(fields.text("name").unwrap_or_default());
     if let Some(name) = fields.text("name") {
-        parts.endpoint_names.add(id.0, name, fields.spot_of("name"));
+        items.endpoint_names.add(id.0, name, fields.pos_of("name"));
     }
     let data_centre = fields.text("data_centre");
     if let Some(name) = data_centre {
-        parts.data_centres.add(DataCentreId::of(name).0, name, fields.spot_of("data_centre"));
+        items.data_centres.add(DataCentreId::of(name).0, name, fields.pos_of("data_centre"));
     }
     check_address(report, fields);
-    let serves = read_target(report, parts, fields);
+    let serves = read_target(report, items, fields);
     let role = read_role(fields);
     if let (Some(role), Some(serves)) = (role, serves) {
         check_role(report, fields, role, serves);
@@ -226,14 +244,14 @@
         data_centre: DataCentreId::of(data_centre?),
         role: role?,
         serves: serves?,
-        slots: fields.count("slots")?,
+        slots: fields.integer_as("slots")?,
         prefill_rate: fields.number("prefill_tokens_per_s").unwrap_or(0.0),
-        link_rate: fields.whole("link_bytes_per_s").unwrap_or(0),
-        checks_fencing: fields.flag("fencing").unwrap_or(false),
-        accepts_orders: fields.flag("orders").unwrap_or(false),
-        leaving: fields.flag("leaving").unwrap_or(false),
+        link_rate: fields.integer("link_bytes_per_s").unwrap_or(0),
+        checks_fencing: fields.boolean("fencing").unwrap_or(false),
+        accepts_orders: fields.boolean("orders").unwrap_or(false),
+        leaving: fields.boolean("leaving").unwrap_or(false),
     };
-    parts.endpoints.push(Placed { value: endpoint, spot: fields.spot_of("address") });
+    items.endpoints.push(Located { value: endpoint, pos: fields.pos_of("address") });
     Some(())
 }
 
@@ -243,7 +261,7 @@
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
         let help = "write the endpoint's own IP number and port, for example \"10.0.1.1:8000\"";
         let message = format!("nobody can connect to {address}");
-        report.error(fields.spot_of("address"), message, help);
+        report.error(fields.pos_of("address"), message, help);
     }
 }
 
@@ -256,53 +274,54 @@
 }
 
 fn check_role(report: &mut Report<'_>, fields: &Fields<'_, '_>, role: Role, serves: EntryTarget) {
-    let spot = fields.spot_of("role");
+    let pos = fields.pos_of("role");
     match (role, serves) {
         (Role::Plain, EntryTarget::Model(_)) => {
             let help = "write \"prefill\" or \"decode\", or name a service instead of the model";
-            report.error(spot, "an endpoint of role plain can't serve a model", help);
+            report.error(pos, "an endpoint of role plain can't serve a model", help);
         }
         (Role::Prefill | Role::Decode, EntryTarget::Service(_)) => {
             let help = "write \"plain\", or name a model instead of the service";
-            report.error(spot, "only an endpoint of role plain can serve a service", help);
+            report.error(pos, "only an endpoint of role plain can serve a service", help);
         }
         _ => {}
     }
-    let needed: &[(&str, &str)] = match role {
+    let required: &[(&str, &str)] = match role {
         Role::Prefill => &[("prefill_tokens_per_s", "8000"), ("link_bytes_per_s", "1.25e9")],
         Role::Decode => &[("link_bytes_per_s", "1.25e9")],
         Role::Plain => &[],
     };
-    for (name, example) in needed.iter().filter(|(name, _)| !fields.has(name)) {
+    for (name, example) in required.iter().filter(|(name, _)| !fields.has_field(name)) {
         let message = format!("an endpoint of this role needs \"{name}\"");
-        report.error(spot, message, format!("add \"{name}\": {example}, for example"));
+        report.error(pos, message, format!("add \"{name}\": {example}, for example"));
     }
-    let useless: &[&str] = match role {
+    let unsupported: &[&str] = match role {
         Role::Plain => &["prefill_tokens_per_s", "orders", "fencing"],
         _ => &[],
     };
-    for name in useless.iter().filter(|name| fields.has(name)) {
+    for name in unsupported.iter().filter(|name| fields.has_field(name)) {
         let message = format!("an endpoint of role plain has no \"{name}\"");
-        report.error(fields.spot_of(name), message, "remove it");
+        report.error(fields.pos_of(name), message, "remove it");
     }
 }
 
 fn read_target(
     report: &mut Report<'_>,
-    parts: &mut Parts,
+    items: &mut ParsedItems,
     fields: &Fields<'_, '_>,
 ) -> Option<EntryTarget> {
-    let model = refer(&mut parts.model_names, fields, "model", |name| ModelId::of(name).0);
-    let service = refer(&mut parts.service_names, fields, "service", |name| ServiceId::of(name).0);
-    match (fields.has("model"), fields.has("service")) {
+    let model = read_reference(&mut items.model_names, fields, "model", |name| ModelId::of(name).0);
+    let service =
+        read_reference(&mut items.service_names, fields, "service", |name| ServiceId::of(name).0);
+    match (fields.has_field("model"), fields.has_field("service")) {
         (true, true) => {
-            let (spot, other) = (fields.spot_of("service"), fields.spot_of("model"));
-            report.clash(spot, other, "\"model\" and \"service\" are both given", "remove one");
+            let (pos, other) = (fields.pos_of("service"), fields.pos_of("model"));
+            report.conflict(pos, other, "\"model\" and \"service\" are both given", "remove one");
             None
         }
         (false, false) => {
             let help = "add \"model\" or \"service\" with the name of one";
-            report.error(fields.spot(), "neither \"model\" nor \"service\" is given", help);
+            report.error(fields.pos(), "neither \"model\" nor \"service\" is given", help);
             None
         }
         (true, false) => Some(EntryTarget::Model(ModelId(model?))),
@@ -311,24 +330,28 @@
 }
 
 /// Notes a reference, and gives the id that it stands for.
-fn refer(
-    scope: &mut Scope,
+fn read_reference(
+    scope: &mut NameScope,
     fields: &Fields<'_, '_>,
     field: &str,
     id: fn(&str) -> u64,
 ) -> Option<u64> {
     let text = fields.text(field)?;
-    let name = Name { id: id(text), text: text.to_owned(), spot: fields.spot_of(field) };
+    let name = Name { id: id(text), text: text.to_owned(), pos: fields.pos_of(field) };
     scope.references.push(name);
     Some(id(text))
 }
 
-fn read_weight_store(report: &mut Report<'_>, parts: &mut Parts, top: &Fields<'_, '_>) {
-    let Some(fields) = top.object(report, "weight_store") else { return };
-    if let Some(first) = &parts.weight_rate {
-        report.clash(fields.spot(), first.spot, "there are two weight stores", "remove one");
+fn read_weight_store(
+    report: &mut Report<'_>,
+    items: &mut ParsedItems,
+    root_fields: &Fields<'_, '_>,
+) {
+    let Some(fields) = root_fields.object(report, "weight_store") else { return };
+    if let Some(first) = &items.weight_rate {
+        report.conflict(fields.pos(), first.pos, "there are two weight stores", "remove one");
         return;
     }
-    let value = fields.whole("bytes_per_s").unwrap_or(0);
-    parts.weight_rate = Some(Placed { value, spot: fields.spot() });
+    let value = fields.integer("bytes_per_s").unwrap_or(0);
+    items.weight_rate = Some(Located { value, pos: fields.pos() });
 }
--- a/crates/basilbank_config/src/catalogue/schema.rs
+++ b/crates/basilbank_config/src/catalogue/schema.rs
@@ -1,32 +1,57 @@
 //! The fields of a catalogue document.
 
-use crate::schema::{Field, Kind, Section};
+use crate::schema::{Field, FieldType, ObjectSchema};
 
 /// Largest number of bytes, or bytes a second, that a catalogue may name.
 const MAX_BYTES: u64 = 1 << 50;
 
 /// Largest rate in tokens or requests a second.
-const MAX_RATE: f64 = 1e9;
+const MAX_RATE_PER_S: f64 = 1e9;
 
 /// A catalogue document.
-pub const CATALOGUE: Section = Section {
+pub const CATALOGUE: ObjectSchema = ObjectSchema {
     noun: "catalogue",
     fields: &[
-        Field::optional("teams", Kind::Objects(&TEAM), "[]", "[{ \"name\": \"fitters\" }]")
+        Field::optional("teams", FieldType::ObjectList(&TEAM), "[]", "[{ \"name\": \"fitters\" }]")
             .doc("Who is charged."),
-        Field::optional("classes", Kind::Objects(&CLASS), "[]", "[{ \"name\": \"draft\" }]")
-            .doc("What is promised."),
-        Field::optional("models", Kind::Objects(&MODEL), "[]", "[{ \"name\": \"writer\" }]")
-            .doc("What prefill and decode endpoints serve."),
-        Field::optional("services", Kind::Objects(&SERVICE), "[]", "[{ \"name\": \"desk\" }]")
-            .doc("What plain endpoints serve."),
-        Field::optional("entries", Kind::Objects(&ENTRY), "[]", "[{ \"name\": \"quotes\" }]")
-            .doc("Which team may use what, under which promise and limits."),
-        Field::optional("endpoints", Kind::Objects(&ENDPOINT), "[]", "[{ \"name\": \"run-1\" }]")
-            .doc("Where work runs."),
+        Field::optional(
+            "classes",
+            FieldType::ObjectList(&CLASS),
+            "[]",
+            "[{ \"name\": \"draft\" }]",
+        )
+        .doc("What is promised."),
+        Field::optional(
+            "models",
+            FieldType::ObjectList(&MODEL),
+            "[]",
+            "[{ \"name\": \"writer\" }]",
+        )
+        .doc("What prefill and decode endpoints serve."),
+        Field::optional(
+            "services",
+            FieldType::ObjectList(&SERVICE),
+            "[]",
+            "[{ \"name\": \"desk\" }]",
+        )
+        .doc("What plain endpoints serve."),
+        Field::optional(
+            "entries",
+            FieldType::ObjectList(&ENTRY),
+            "[]",
+            "[{ \"name\": \"quotes\" }]",
+        )
+        .doc("Which team may use what, under which promise and limits."),
+        Field::optional(
+            "endpoints",
+            FieldType::ObjectList(&ENDPOINT),
+            "[]",
+            "[{ \"name\": \"run-1\" }]",
+        )
+        .doc("Where work runs."),
         Field::optional(
             "weight_store",
-            Kind::Object(&WEIGHT_STORE),
+            FieldType::Object(&WEIGHT_STORE),
             "not limited",
             "{ \"bytes_per_s\": 2e9 }",
         )
@@ -35,59 +60,63 @@
 };
 
 /// A team.
-pub(super) const TEAM: Section = Section {
+pub(super) const TEAM: ObjectSchema = ObjectSchema {
     noun: "team",
     fields: &[
-        Field::required("name", Kind::Name, "\"fitters\"").doc("Its name."),
-        Field::optional("keys", Kind::Texts, "[]", "[\"64 hex digits\"]")
+        Field::required("name", FieldType::Name, "\"fitters\"").doc("Its name."),
+        Field::optional("keys", FieldType::TextList, "[]", "[\"64 hex digits\"]")
             .doc("SHA-256 hashes of its callers' bearer keys, 64 hex digits each."),
     ],
 };
 
 /// A class of service.
-pub(super) const CLASS: Section = Section {
+pub(super) const CLASS: ObjectSchema = ObjectSchema {
     noun: "class",
     fields: &[
-        Field::required("name", Kind::Name, "\"draft\"").doc("Its name."),
-        Field::required("ttft_ms", Kind::millis(1), "340")
+        Field::required("name", FieldType::Name, "\"draft\"").doc("Its name."),
+        Field::required("ttft_ms", FieldType::millis(1), "340")
             .doc("Target for the time to the first token, or to a plain call's whole answer."),
-        Field::optional("tbt_ms", Kind::millis(1), "no target", "44")
+        Field::optional("tbt_ms", FieldType::millis(1), "no target", "44")
             .doc("Target for the time between tokens. A class of a model's entry must have it."),
-        Field::optional("wait_ms", Kind::millis(0), "0", "5000")
+        Field::optional("wait_ms", FieldType::millis(0), "0", "5000")
             .doc("How long a request may wait beyond its target; 0 refuses it at once."),
-        Field::optional("priority", Kind::Whole { min: 0, max: 255 }, "0", "10")
+        Field::optional("priority", FieldType::Integer { min: 0, max: 255 }, "0", "10")
             .doc("Higher goes first at the engines."),
     ],
 };
 
 /// A model.
-pub(super) const MODEL: Section = Section {
+pub(super) const MODEL: ObjectSchema = ObjectSchema {
     noun: "model",
     fields: &[
-        Field::required("name", Kind::Name, "\"quote-writer\"").doc("Its name."),
-        Field::required("version", Kind::Name, "\"v7\"")
+        Field::required("name", FieldType::Name, "\"quote-writer\"").doc("Its name."),
+        Field::required("version", FieldType::Name, "\"v7\"")
             .doc("The version that its endpoints shall serve."),
-        Field::optional("adapter", Kind::Name, "none", "\"kitchens\"")
+        Field::optional("adapter", FieldType::Name, "none", "\"kitchens\"")
             .doc("The adapter that its endpoints shall have loaded."),
-        Field::required("weight_bytes", Kind::Whole { min: 1, max: MAX_BYTES }, "16e9")
+        Field::required("weight_bytes", FieldType::Integer { min: 1, max: MAX_BYTES }, "16e9")
             .doc("Size of the weights."),
-        Field::required("kv_bytes_per_token", Kind::Whole { min: 1, max: 1 << 30 }, "131072")
-            .doc("Size of one token's KV cache."),
-        Field::optional("block_tokens", Kind::Whole { min: 1, max: 4096 }, "16", "32")
+        Field::required(
+            "kv_bytes_per_token",
+            FieldType::Integer { min: 1, max: 1 << 30 },
+            "131072",
+        )
+        .doc("Size of one token's KV cache."),
+        Field::optional("block_tokens", FieldType::Integer { min: 1, max: 4096 }, "16", "32")
             .doc("Tokens of one block of the prefix cache."),
     ],
 };
 
 /// A plain service.
-pub(super) const SERVICE: Section = Section {
+pub(super) const SERVICE: ObjectSchema = ObjectSchema {
     noun: "service",
     fields: &[
-        Field::required("name", Kind::Name, "\"fitter-desk\"").doc("Its name."),
-        Field::required("prefix", Kind::Text, "\"/desk/\"")
+        Field::required("name", FieldType::Name, "\"fitter-desk\"").doc("Its name."),
+        Field::required("prefix", FieldType::Text, "\"/desk/\"")
             .doc("Paths that start with it go to the service; it starts and ends with `/`."),
         Field::optional(
             "repeatable",
-            Kind::Texts,
+            FieldType::TextList,
             "[\"GET\", \"HEAD\"]",
             "[\"GET\", \"HEAD\", \"PUT\"]",
         )
@@ -96,83 +125,109 @@
 };
 
 /// An entry.
-pub(super) const ENTRY: Section = Section {
+pub(super) const ENTRY: ObjectSchema = ObjectSchema {
     noun: "entry",
     fields: &[
-        Field::required("name", Kind::Name, "\"quotes\"")
+        Field::required("name", FieldType::Name, "\"quotes\"")
             .doc("Its name; callers put a model's entry into the `model` field."),
-        Field::required("owner", Kind::Name, "\"fitters\"").doc("The team."),
-        Field::required("class", Kind::Name, "\"draft\"").doc("The class of service."),
-        Field::optional("model", Kind::Name, "\"service\" stands in its place", "\"quote-writer\"")
-            .doc("The model it gives access to."),
-        Field::optional("service", Kind::Name, "\"model\" stands in its place", "\"fitter-desk\"")
-            .doc("The service it gives access to."),
-        Field::optional("limits", Kind::Object(&LIMITS), "{}", "{ \"owed\": 0.4 }")
+        Field::required("owner", FieldType::Name, "\"fitters\"").doc("The team."),
+        Field::required("class", FieldType::Name, "\"draft\"").doc("The class of service."),
+        Field::optional(
+            "model",
+            FieldType::Name,
+            "\"service\" stands in its place",
+            "\"quote-writer\"",
+        )
+        .doc("The model it gives access to."),
+        Field::optional(
+            "service",
+            FieldType::Name,
+            "\"model\" stands in its place",
+            "\"fitter-desk\"",
+        )
+        .doc("The service it gives access to."),
+        Field::optional("limits", FieldType::Object(&LIMITS), "{}", "{ \"owed\": 0.4 }")
             .doc("The owner's limits over the whole fleet."),
     ],
 };
 
 /// An entry's limits.
-pub(super) const LIMITS: Section = Section {
+pub(super) const LIMITS: ObjectSchema = ObjectSchema {
     noun: "limits object",
     fields: &[
-        Field::optional("requests_per_s", positive(MAX_RATE), "not limited", "20")
+        Field::optional("requests_per_s", positive_number(MAX_RATE_PER_S), "not limited", "20")
             .doc("Requests a second."),
-        Field::optional("tokens_per_s", positive(MAX_RATE), "not limited", "40000")
+        Field::optional("tokens_per_s", positive_number(MAX_RATE_PER_S), "not limited", "40000")
             .doc("Prompt and generated tokens a second."),
-        Field::optional("concurrent", Kind::Whole { min: 1, max: 1_000_000 }, "not limited", "50")
-            .doc("Requests in progress."),
-        Field::optional("owed", Kind::Number { min: 0.0, max: 1.0 }, "0", "0.4")
+        Field::optional(
+            "concurrent",
+            FieldType::Integer { min: 1, max: 1_000_000 },
+            "not limited",
+            "50",
+        )
+        .doc("Requests in progress."),
+        Field::optional("owed", FieldType::Number { min: 0.0, max: 1.0 }, "0", "0.4")
             .doc("Share of the target's capacity that the owner can have whenever it wants it."),
     ],
 };
 
 /// An endpoint.
-pub(super) const ENDPOINT: Section = Section {
+pub(super) const ENDPOINT: ObjectSchema = ObjectSchema {
     noun: "endpoint",
     fields: &[
-        Field::required("name", Kind::Name, "\"writer-d1\"").doc("Its name."),
-        Field::required("address", Kind::Address, "\"10.0.1.1:8000\"").doc("Where it listens."),
-        Field::required("data_centre", Kind::Name, "\"hall-a\"").doc("Where it is."),
-        Field::required("role", Kind::Choice(&["prefill", "decode", "plain"]), "\"decode\"")
+        Field::required("name", FieldType::Name, "\"writer-d1\"").doc("Its name."),
+        Field::required("address", FieldType::Address, "\"10.0.1.1:8000\"")
+            .doc("Where it listens."),
+        Field::required("data_centre", FieldType::Name, "\"hall-a\"").doc("Where it is."),
+        Field::required("role", FieldType::Choice(&["prefill", "decode", "plain"]), "\"decode\"")
             .doc("What it does."),
-        Field::optional("model", Kind::Name, "\"service\" stands in its place", "\"quote-writer\"")
-            .doc("The model it serves."),
-        Field::optional("service", Kind::Name, "\"model\" stands in its place", "\"fitter-desk\"")
-            .doc("The service it serves."),
-        Field::required("slots", Kind::Whole { min: 1, max: 100_000 }, "20")
+        Field::optional(
+            "model",
+            FieldType::Name,
+            "\"service\" stands in its place",
+            "\"quote-writer\"",
+        )
+        .doc("The model it serves."),
+        Field::optional(
+            "service",
+            FieldType::Name,
+            "\"model\" stands in its place",
+            "\"fitter-desk\"",
+        )
+        .doc("The service it serves."),
+        Field::required("slots", FieldType::Integer { min: 1, max: 100_000 }, "20")
             .doc("Requests that it can run at once."),
         Field::optional(
             "prefill_tokens_per_s",
-            positive(MAX_RATE),
+            positive_number(MAX_RATE_PER_S),
             "must be there for role prefill",
             "8000",
         )
         .doc("Prompt tokens that it works through."),
         Field::optional(
             "link_bytes_per_s",
-            Kind::Whole { min: 1, max: MAX_BYTES },
+            FieldType::Integer { min: 1, max: MAX_BYTES },
             "must be there for roles prefill and decode",
             "1.25e9",
         )
         .doc("Rate of its link, which KV cache transfers share."),
-        Field::optional("fencing", Kind::Flag, "false", "true")
+        Field::optional("fencing", FieldType::Bool, "false", "true")
             .doc("It refuses orders whose fencing number is older than one it has taken."),
-        Field::optional("orders", Kind::Flag, "false", "true")
+        Field::optional("orders", FieldType::Bool, "false", "true")
             .doc("It takes orders to load a model or to change role."),
-        Field::optional("leaving", Kind::Flag, "false", "true")
+        Field::optional("leaving", FieldType::Bool, "false", "true")
             .doc("It is being taken away: no new work."),
     ],
 };
 
 /// The weight store.
-pub(super) const WEIGHT_STORE: Section = Section {
+pub(super) const WEIGHT_STORE: ObjectSchema = ObjectSchema {
     noun: "weight store",
-    fields: &[Field::required("bytes_per_s", Kind::Whole { min: 1, max: MAX_BYTES }, "2e9")
+    fields: &[Field::required("bytes_per_s", FieldType::Integer { min: 1, max: MAX_BYTES }, "2e9")
         .doc("What it gives to all endpoints together.")],
 };
 
 /// A positive number. Zero is left to mean 'not limited' in the compiled catalogue.
-const fn positive(max: f64) -> Kind {
-    Kind::Number { min: 0.001, max }
+const fn positive_number(max: f64) -> FieldType {
+    FieldType::Number { min: 0.001, max }
 }
--- a/crates/basilbank_config/src/diff.rs
+++ b/crates/basilbank_config/src/diff.rs
@@ -11,37 +11,37 @@
 //! ```
 
 mod change;
+mod consequences;
 mod describe;
-mod follow;
 
 use std::cmp::Ordering;
 
 use basilbank_core::catalogue::Catalogue;
 
-pub use self::change::{Change, Consequence, Item, Step};
+pub use self::change::{Action, Change, Consequence, ItemKind};
 use self::{
-    describe::{Described, Lookup},
-    follow::Follow,
+    consequences::ChangeConsequences,
+    describe::{CatalogueItem, NameLookup},
 };
 
 /// All changes from one catalogue to another, by kind, name and field. Revisions aren't compared.
 #[must_use]
 pub fn diff(old: &Catalogue, new: &Catalogue) -> Vec<Change> {
-    let lookup = Lookup::new(old, new);
+    let lookup = NameLookup::new(old, new);
     let mut changes = Vec::new();
-    compare(&lookup, &old.teams, &new.teams, &mut changes);
-    compare(&lookup, &old.classes, &new.classes, &mut changes);
-    compare(&lookup, &old.models, &new.models, &mut changes);
-    compare(&lookup, &old.services, &new.services, &mut changes);
-    compare(&lookup, &old.entries, &new.entries, &mut changes);
-    compare(&lookup, &old.endpoints, &new.endpoints, &mut changes);
+    compare_lists(&lookup, &old.teams, &new.teams, &mut changes);
+    compare_lists(&lookup, &old.classes, &new.classes, &mut changes);
+    compare_lists(&lookup, &old.models, &new.models, &mut changes);
+    compare_lists(&lookup, &old.services, &new.services, &mut changes);
+    compare_lists(&lookup, &old.entries, &new.entries, &mut changes);
+    compare_lists(&lookup, &old.endpoints, &new.endpoints, &mut changes);
     compare_weight_store(old.weight_rate, new.weight_rate, &mut changes);
     changes
 }
 
 /// Walks two lists that are sorted by name side by side.
-fn compare<T: Described + Follow>(
-    lookup: &Lookup<'_>,
+fn compare_lists<T: CatalogueItem + ChangeConsequences>(
+    lookup: &NameLookup<'_>,
     mut old: &[T],
     mut new: &[T],
     changes: &mut Vec<Change>,
@@ -55,13 +55,13 @@
         };
         match order {
             Ordering::Less => {
-                let consequence = old[0].removed(lookup);
-                changes.push(Change::new(T::ITEM, old[0].name(), Step::Removed, consequence));
+                let consequence = old[0].when_removed(lookup);
+                changes.push(Change::new(T::KIND, old[0].name(), Action::Removed, consequence));
                 old = &old[1..];
             }
             Ordering::Greater => {
-                let consequence = new[0].added(lookup);
-                changes.push(Change::new(T::ITEM, new[0].name(), Step::Added, consequence));
+                let consequence = new[0].when_added(lookup);
+                changes.push(Change::new(T::KIND, new[0].name(), Action::Added, consequence));
                 new = &new[1..];
             }
             Ordering::Equal => {
@@ -74,8 +74,8 @@
     }
 }
 
-fn compare_fields<T: Described + Follow>(
-    lookup: &Lookup<'_>,
+fn compare_fields<T: CatalogueItem + ChangeConsequences>(
+    lookup: &NameLookup<'_>,
     old: &T,
     new: &T,
     changes: &mut Vec<Change>,
@@ -85,9 +85,9 @@
         if before == after {
             continue;
         }
-        let consequence = new.changed(old, field, lookup);
-        let step = Step::Changed { field, old: before, new: after };
-        changes.push(Change::new(T::ITEM, new.name(), step, consequence));
+        let consequence = new.when_changed(old, field, lookup);
+        let action = Action::Changed { field, old: before, new: after };
+        changes.push(Change::new(T::KIND, new.name(), action, consequence));
     }
 }
 
@@ -95,7 +95,7 @@
     if old == new {
         return;
     }
-    let (old, new) = (describe::limit(old as f64), describe::limit(new as f64));
-    let step = Step::Changed { field: "bytes_per_s", old, new };
-    changes.push(Change::new(Item::WeightStore, "", step, None));
+    let (old, new) = (describe::format_limit(old as f64), describe::format_limit(new as f64));
+    let action = Action::Changed { field: "bytes_per_s", old, new };
+    changes.push(Change::new(ItemKind::WeightStore, "", action, None));
 }
--- a/crates/basilbank_config/src/diff/change.rs
+++ b/crates/basilbank_config/src/diff/change.rs
@@ -4,7 +4,7 @@
 
 /// A kind of thing in the catalogue.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub enum Item {
+pub enum ItemKind {
     /// A team.
     Team,
     /// A class of service.
@@ -21,25 +21,25 @@
     WeightStore,
 }
 
-impl Item {
+impl ItemKind {
     /// What it is called.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Item::Team => "team",
-            Item::Class => "class",
-            Item::Model => "model",
-            Item::Service => "service",
-            Item::Entry => "entry",
-            Item::Endpoint => "endpoint",
-            Item::WeightStore => "weight store",
+            ItemKind::Team => "team",
+            ItemKind::Class => "class",
+            ItemKind::Model => "model",
+            ItemKind::Service => "service",
+            ItemKind::Entry => "entry",
+            ItemKind::Endpoint => "endpoint",
+            ItemKind::WeightStore => "weight store",
         }
     }
 }
 
 /// What happens to a thing.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Step {
+pub enum Action {
     /// It is new.
     Added,
     /// It is gone.
@@ -59,11 +59,11 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum Consequence {
     /// The endpoint takes no new work; requests in progress finish.
-    Drains,
+    EndpointDrains,
     /// The endpoint takes new work.
-    TakesWork,
+    EndpointTakesWork,
     /// The model's endpoints are to be changed to this.
-    Rolls {
+    ModelRollout {
         /// The model.
         model: String,
         /// The version.
@@ -71,12 +71,12 @@
         /// The adapter; empty for none.
         adapter: String,
         /// Endpoints that take orders.
-        ordered: usize,
+        accepting_orders: usize,
         /// Endpoints that don't: somebody has to change them.
         manual: usize,
     },
     /// A team is owed another share of a target.
-    Owed {
+    GuaranteedShareChanged {
         /// The team.
         team: String,
         /// The target, with its kind.
@@ -87,28 +87,28 @@
         new: f64,
     },
     /// A team may use a target.
-    Access {
+    AccessGranted {
         /// The team.
         team: String,
         /// The target, with its kind.
         target: String,
     },
     /// A team's new calls to a target are refused.
-    NoAccess {
+    AccessRevoked {
         /// The team.
         team: String,
         /// The target, with its kind.
         target: String,
     },
     /// Keys come and go.
-    Keys {
+    KeysChanged {
         /// Keys accepted from now on.
         added: usize,
         /// Keys no longer accepted.
         removed: usize,
     },
     /// Entries whose promise changes.
-    Promise {
+    TargetsChanged {
         /// How many.
         entries: usize,
     },
@@ -117,26 +117,28 @@
 impl fmt::Display for Consequence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Consequence::Drains => write!(f, "endpoint drains"),
-            Consequence::TakesWork => write!(f, "endpoint takes new work"),
-            Consequence::Rolls { model, version, adapter, ordered, manual } => {
+            Consequence::EndpointDrains => write!(f, "endpoint drains"),
+            Consequence::EndpointTakesWork => write!(f, "endpoint takes new work"),
+            Consequence::ModelRollout { model, version, adapter, accepting_orders, manual } => {
                 write!(f, "model {model} rolls to version {version}")?;
                 if !adapter.is_empty() {
                     write!(f, " with adapter {adapter}")?;
                 }
-                write!(f, ": {ordered} endpoints by order, {manual} take no orders")
+                write!(f, ": {accepting_orders} endpoints by order, {manual} take no orders")
             }
-            Consequence::Owed { team, target, old, new } => {
+            Consequence::GuaranteedShareChanged { team, target, old, new } => {
                 write!(f, "owed share of {team} in {target} goes from {old} to {new}")
             }
-            Consequence::Access { team, target } => write!(f, "{team} may use {target}"),
-            Consequence::NoAccess { team, target } => {
+            Consequence::AccessGranted { team, target } => write!(f, "{team} may use {target}"),
+            Consequence::AccessRevoked { team, target } => {
                 write!(f, "new calls of {team} to {target} by this entry are refused")
             }
-            Consequence::Keys { added, removed } => {
+            Consequence::KeysChanged { added, removed } => {
                 write!(f, "{added} keys are accepted that weren't, {removed} no longer")
             }
-            Consequence::Promise { entries } => write!(f, "changes {entries} entries' promise"),
+            Consequence::TargetsChanged { entries } => {
+                write!(f, "changes {entries} entries' promise")
+            }
         }
     }
 }
@@ -145,11 +147,11 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct Change {
     /// What kind of thing.
-    pub item: Item,
+    pub item_kind: ItemKind,
     /// Its name; empty for the weight store.
     pub name: String,
     /// What happens to it.
-    pub step: Step,
+    pub action: Action,
     /// What follows.
     pub consequence: Option<Consequence>,
 }
@@ -157,23 +159,28 @@
 impl Change {
     /// A change of one thing.
     #[must_use]
-    pub fn new(item: Item, name: &str, step: Step, consequence: Option<Consequence>) -> Change {
-        Change { item, name: name.to_owned(), step, consequence }
+    pub fn new(
+        item_kind: ItemKind,
+        name: &str,
+        action: Action,
+        consequence: Option<Consequence>,
+    ) -> Change {
+        Change { item_kind, name: name.to_owned(), action, consequence }
     }
 }
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let sign = match self.step {
-            Step::Added => '+',
-            Step::Removed => '-',
-            Step::Changed { .. } => '~',
+        let sign = match self.action {
+            Action::Added => '+',
+            Action::Removed => '-',
+            Action::Changed { .. } => '~',
         };
-        write!(f, "{sign} {}", self.item.as_str())?;
+        write!(f, "{sign} {}", self.item_kind.as_str())?;
         if !self.name.is_empty() {
             write!(f, " {}", self.name)?;
         }
-        if let Step::Changed { field, old, new } = &self.step {
+        if let Action::Changed { field, old, new } = &self.action {
             write!(f, ": {field} {old} -> {new}")?;
         }
         if let Some(consequence) = &self.consequence {
--- a/crates/basilbank_config/src/diff/describe.rs
+++ b/crates/basilbank_config/src/diff/describe.rs
@@ -6,18 +6,18 @@
     Catalogue, Class, Endpoint, Entry, EntryTarget, ModelSpec, Role, Service, Team,
 };
 
-use super::change::Item;
+use super::change::ItemKind;
 
 /// Names by their hashes, and the catalogues that are compared.
-pub(super) struct Lookup<'a> {
+pub(super) struct NameLookup<'a> {
     /// The catalogue afterwards.
-    pub new: &'a Catalogue,
+    pub new_catalogue: &'a Catalogue,
     names: HashMap<u64, &'a str>,
 }
 
-impl<'a> Lookup<'a> {
+impl<'a> NameLookup<'a> {
     /// The names of both catalogues.
-    pub fn new(old: &'a Catalogue, new: &'a Catalogue) -> Lookup<'a> {
+    pub fn new(old: &'a Catalogue, new: &'a Catalogue) -> NameLookup<'a> {
         let mut names = HashMap::new();
         for catalogue in [old, new] {
             names.extend(catalogue.teams.iter().map(|t| (t.id.0, t.name.as_str())));
@@ -25,7 +25,7 @@
             names.extend(catalogue.models.iter().map(|m| (m.id.0, m.name.as_str())));
             names.extend(catalogue.services.iter().map(|s| (s.id.0, s.name.as_str())));
         }
-        Lookup { new, names }
+        NameLookup { new_catalogue: new, names }
     }
 
     /// The name with a hash; the hash when there is none.
@@ -43,41 +43,41 @@
 }
 
 /// A field's name and its value.
-pub(super) type Shown = (&'static str, String);
+pub(super) type FieldText = (&'static str, String);
 
 /// A thing that can be shown field by field.
-pub(super) trait Described: PartialEq {
+pub(super) trait CatalogueItem: PartialEq {
     /// Its kind.
-    const ITEM: Item;
+    const KIND: ItemKind;
 
     /// Its name.
     fn name(&self) -> &str;
 
     /// Its fields without the name, always the same ones in the same order.
-    fn fields(&self, lookup: &Lookup<'_>) -> Vec<Shown>;
+    fn fields(&self, lookup: &NameLookup<'_>) -> Vec<FieldText>;
 }
 
 /// A limit, where zero stands for none.
-pub(super) fn limit(value: f64) -> String {
+pub(super) fn format_limit(value: f64) -> String {
     if value == 0.0 { "not limited".to_owned() } else { value.to_string() }
 }
 
-fn millis(value: Duration) -> String {
+fn format_millis(value: Duration) -> String {
     value.as_millis().to_string()
 }
 
-fn or_none(text: &str) -> String {
+fn text_or_none(text: &str) -> String {
     if text.is_empty() { "none".to_owned() } else { text.to_owned() }
 }
 
-impl Described for Team {
-    const ITEM: Item = Item::Team;
+impl CatalogueItem for Team {
+    const KIND: ItemKind = ItemKind::Team;
 
     fn name(&self) -> &str {
         &self.name
     }
 
-    fn fields(&self, _: &Lookup<'_>) -> Vec<Shown> {
+    fn fields(&self, _: &NameLookup<'_>) -> Vec<FieldText> {
         // The first digits tell keys apart; a whole hash would only fill the line.
         let start = |key: &[u8; 32]| format!("{:02x}{:02x}…", key[0], key[1]);
         let keys: Vec<_> = self.keys.iter().map(start).collect();
@@ -85,35 +85,35 @@
     }
 }
 
-impl Described for Class {
-    const ITEM: Item = Item::Class;
+impl CatalogueItem for Class {
+    const KIND: ItemKind = ItemKind::Class;
 
     fn name(&self) -> &str {
         &self.name
     }
 
-    fn fields(&self, _: &Lookup<'_>) -> Vec<Shown> {
-        let tbt = if self.tbt.is_zero() { "no target".to_owned() } else { millis(self.tbt) };
+    fn fields(&self, _: &NameLookup<'_>) -> Vec<FieldText> {
+        let tbt = if self.tbt.is_zero() { "no target".to_owned() } else { format_millis(self.tbt) };
         vec![
-            ("ttft_ms", millis(self.ttft)),
+            ("ttft_ms", format_millis(self.ttft)),
             ("tbt_ms", tbt),
-            ("wait_ms", millis(self.max_wait)),
+            ("wait_ms", format_millis(self.max_wait)),
             ("priority", self.priority.to_string()),
         ]
     }
 }
 
-impl Described for ModelSpec {
-    const ITEM: Item = Item::Model;
+impl CatalogueItem for ModelSpec {
+    const KIND: ItemKind = ItemKind::Model;
 
     fn name(&self) -> &str {
         &self.name
     }
 
-    fn fields(&self, _: &Lookup<'_>) -> Vec<Shown> {
+    fn fields(&self, _: &NameLookup<'_>) -> Vec<FieldText> {
         vec![
             ("version", self.version.clone()),
-            ("adapter", or_none(&self.adapter)),
+            ("adapter", text_or_none(&self.adapter)),
             ("weight_bytes", self.weight_bytes.to_string()),
             ("kv_bytes_per_token", self.token_bytes.to_string()),
             ("block_tokens", self.block_tokens.to_string()),
@@ -121,14 +121,14 @@
     }
 }
 
-impl Described for Service {
-    const ITEM: Item = Item::Service;
+impl CatalogueItem for Service {
+    const KIND: ItemKind = ItemKind::Service;
 
     fn name(&self) -> &str {
         &self.name
     }
 
-    fn fields(&self, _: &Lookup<'_>) -> Vec<Shown> {
+    fn fields(&self, _: &NameLookup<'_>) -> Vec<FieldText> {
         vec![
             ("prefix", self.path_prefix.clone()),
             ("repeatable", self.repeatable_methods.join(" ")),
@@ -136,34 +136,34 @@
     }
 }
 
-impl Described for Entry {
-    const ITEM: Item = Item::Entry;
+impl CatalogueItem for Entry {
+    const KIND: ItemKind = ItemKind::Entry;
 
     fn name(&self) -> &str {
         &self.name
     }
 
-    fn fields(&self, lookup: &Lookup<'_>) -> Vec<Shown> {
+    fn fields(&self, lookup: &NameLookup<'_>) -> Vec<FieldText> {
         vec![
             ("owner", lookup.name(self.team.0)),
             ("class", lookup.name(self.class.0)),
             ("target", lookup.target(self.target)),
-            ("requests_per_s", limit(self.limits.requests)),
-            ("tokens_per_s", limit(self.limits.tokens)),
-            ("concurrent", limit(f64::from(self.limits.concurrent))),
+            ("requests_per_s", format_limit(self.limits.requests)),
+            ("tokens_per_s", format_limit(self.limits.tokens)),
+            ("concurrent", format_limit(f64::from(self.limits.concurrent))),
             ("owed", self.limits.owed.to_string()),
         ]
     }
 }
 
-impl Described for Endpoint {
-    const ITEM: Item = Item::Endpoint;
+impl CatalogueItem for Endpoint {
+    const KIND: ItemKind = ItemKind::Endpoint;
 
     fn name(&self) -> &str {
         &self.name
     }
 
-    fn fields(&self, lookup: &Lookup<'_>) -> Vec<Shown> {
+    fn fields(&self, lookup: &NameLookup<'_>) -> Vec<FieldText> {
         let role = match self.role {
             Role::Prefill => "prefill",
             Role::Decode => "decode",
--- a/crates/basilbank_config/src/document.rs
+++ b/crates/basilbank_config/src/document.rs
@@ -5,7 +5,7 @@
 use crate::{
     catalogue::CATALOGUE,
     report::{Report, Source},
-    schema::Section,
+    schema::ObjectSchema,
     settings::SETTINGS,
     syntax,
 };
@@ -25,8 +25,8 @@
     #[must_use]
     pub fn detect(text: &str) -> TextKind {
         let mut report = Report::new(vec![Source { name: "", text }]);
-        let Some(root) = syntax::root(&mut report, 0) else { return TextKind::Catalogue };
-        if known(&CATALOGUE, &root) < known(&SETTINGS, &root) {
+        let Some(root) = syntax::parse_root(&mut report, 0) else { return TextKind::Catalogue };
+        if count_known_fields(&CATALOGUE, &root) < count_known_fields(&SETTINGS, &root) {
             TextKind::Settings
         } else {
             TextKind::Catalogue
@@ -43,6 +43,6 @@
     }
 }
 
-fn known(section: &Section, root: &Object<'_>) -> usize {
-    root.properties.iter().filter(|p| section.field(p.name.as_str()).is_some()).count()
+fn count_known_fields(schema: &ObjectSchema, root: &Object<'_>) -> usize {
+    root.properties.iter().filter(|p| schema.field(p.name.as_str()).is_some()).count()
 }
--- a/crates/basilbank_config/src/fields.rs
+++ b/crates/basilbank_config/src/fields.rs
@@ -8,20 +8,20 @@
 };
 
 use crate::{
-    nearest::nearest,
-    report::{Report, Spot},
-    schema::{Field, Kind, Need, Section},
+    report::{Position, Report},
+    schema::{Field, FieldType, ObjectSchema, Presence},
+    suggestion::closest_match,
 };
 
 /// Longest name.
-const MAX_NAME: usize = 100;
+const MAX_NAME_LEN: usize = 100;
 
 /// An object whose fields were checked. What was wrong is reported; a field that is missing or
 /// wrong reads as `None`.
 #[derive(Debug)]
 pub(crate) struct Fields<'s, 'a> {
     file: usize,
-    section: &'static Section,
+    schema: &'static ObjectSchema,
     object: &'s Object<'a>,
 }
 
@@ -30,33 +30,33 @@
     pub fn new(
         report: &mut Report<'_>,
         file: usize,
-        section: &'static Section,
+        schema: &'static ObjectSchema,
         object: &'s Object<'a>,
     ) -> Fields<'s, 'a> {
-        let fields = Fields { file, section, object };
-        fields.check(report);
+        let fields = Fields { file, schema, object };
+        fields.check_fields(report);
         fields
     }
 
     /// Where the object starts.
-    pub fn spot(&self) -> Spot {
-        Spot { file: self.file, start: self.object.range.start }
+    pub fn pos(&self) -> Position {
+        Position { file: self.file, offset: self.object.range.start }
     }
 
     /// Where a field's value is; the object's start when there is none.
-    pub fn spot_of(&self, name: &str) -> Spot {
+    pub fn pos_of(&self, name: &str) -> Position {
         let value = self.value(name);
-        value.map_or(self.spot(), |v| self.at(v))
+        value.map_or(self.pos(), |v| self.value_pos(v))
     }
 
     /// Whether a field is there, right or wrong.
-    pub fn has(&self, name: &str) -> bool {
+    pub fn has_field(&self, name: &str) -> bool {
         self.value(name).is_some()
     }
 
     /// A text, name or choice.
     pub fn text(&self, name: &str) -> Option<&'s str> {
-        let value = self.valid(name)?;
+        let value = self.valid_value(name)?;
         value.as_string_lit().map(|s| s.value.as_ref())
     }
 
@@ -66,154 +66,157 @@
     }
 
     /// A flag.
-    pub fn flag(&self, name: &str) -> Option<bool> {
-        self.valid(name)?.as_boolean_lit().map(|b| b.value)
+    pub fn boolean(&self, name: &str) -> Option<bool> {
+        self.valid_value(name)?.as_boolean_lit().map(|b| b.value)
     }
 
     /// A whole number.
-    pub fn whole(&self, name: &str) -> Option<u64> {
-        whole(self.valid(name)?.as_number_lit()?.value)
+    pub fn integer(&self, name: &str) -> Option<u64> {
+        parse_integer(self.valid_value(name)?.as_number_lit()?.value)
     }
 
     /// A whole number of a smaller type, which the table's range makes sure it fits.
-    pub fn count<T: TryFrom<u64>>(&self, name: &str) -> Option<T> {
-        T::try_from(self.whole(name)?).ok()
+    pub fn integer_as<T: TryFrom<u64>>(&self, name: &str) -> Option<T> {
+        T::try_from(self.integer(name)?).ok()
     }
 
     /// A whole number of milliseconds.
     pub fn millis(&self, name: &str) -> Option<Duration> {
-        self.whole(name).map(Duration::from_millis)
+        self.integer(name).map(Duration::from_millis)
     }
 
     /// A number.
     pub fn number(&self, name: &str) -> Option<f64> {
-        number(self.valid(name)?.as_number_lit()?.value)
+        parse_number(self.valid_value(name)?.as_number_lit()?.value)
     }
 
     /// A list of texts with their places.
-    pub fn texts(&self, name: &str) -> Option<Vec<(&'s str, Spot)>> {
-        let list = &self.valid(name)?.as_array()?.elements;
+    pub fn text_list(&self, name: &str) -> Option<Vec<(&'s str, Position)>> {
+        let list = &self.valid_value(name)?.as_array()?.elements;
         let texts = list.iter().filter_map(|v| Some((v.as_string_lit()?.value.as_ref(), v)));
-        Some(texts.map(|(text, v)| (text, self.at(v))).collect())
+        Some(texts.map(|(text, v)| (text, self.value_pos(v))).collect())
     }
 
     /// An object within.
     pub fn object(&self, report: &mut Report<'_>, name: &str) -> Option<Fields<'s, 'a>> {
-        let Kind::Object(section) = self.section.field(name)?.kind else { return None };
-        let object = self.valid(name)?.as_object()?;
-        Some(Fields::new(report, self.file, section, object))
+        let FieldType::Object(schema) = self.schema.field(name)?.field_type else { return None };
+        let object = self.valid_value(name)?.as_object()?;
+        Some(Fields::new(report, self.file, schema, object))
     }
 
     /// The objects of a list within.
-    pub fn objects(&self, name: &str) -> impl Iterator<Item = &'s Object<'a>> {
+    pub fn object_list(&self, name: &str) -> impl Iterator<Item = &'s Object<'a>> {
         let list = self.value(name).and_then(Value::as_array);
         list.into_iter().flat_map(|l| &l.elements).filter_map(Value::as_object)
     }
 
-    fn at(&self, value: &impl Ranged) -> Spot {
-        Spot { file: self.file, start: value.start() }
+    fn value_pos(&self, value: &impl Ranged) -> Position {
+        Position { file: self.file, offset: value.start() }
     }
 
     fn value(&self, name: &str) -> Option<&'s Value<'a>> {
-        debug_assert!(self.section.field(name).is_some(), "the table has no {name}");
+        debug_assert!(self.schema.field(name).is_some(), "the table has no {name}");
         self.object.get(name).map(|prop| &prop.value)
     }
 
-    fn valid(&self, name: &str) -> Option<&'s Value<'a>> {
-        let field = self.section.field(name)?;
+    fn valid_value(&self, name: &str) -> Option<&'s Value<'a>> {
+        let field = self.schema.field(name)?;
         let value = self.value(name)?;
-        problem(field, value).is_none().then_some(value)
+        invalid_value_message(field, value).is_none().then_some(value)
     }
 
-    fn check(&self, report: &mut Report<'_>) {
-        let mut seen: HashMap<&str, Spot> = HashMap::with_capacity(self.object.properties.len());
+    fn check_fields(&self, report: &mut Report<'_>) {
+        let mut seen: HashMap<&str, Position> =
+            HashMap::with_capacity(self.object.properties.len());
         for prop in &self.object.properties {
             let name = prop.name.as_str();
-            let spot = self.at(&prop.name);
-            if let Some(first) = seen.insert(name, spot) {
+            let pos = self.value_pos(&prop.name);
+            if let Some(first) = seen.insert(name, pos) {
                 let message = format!("{name:?} is given twice");
-                report.clash(spot, first, message, "remove one of the two");
+                report.conflict(pos, first, message, "remove one of the two");
                 continue;
             }
-            match self.section.field(name) {
+            match self.schema.field(name) {
                 Some(field) => self.check_value(report, field, prop),
-                None => self.unknown(report, name, spot),
+                None => self.report_unknown_field(report, name, pos),
             }
         }
-        for field in self.section.fields {
-            if field.need == Need::Required && !seen.contains_key(field.name) {
-                let message = format!("the {} has no \"{}\"", self.section.noun, field.name);
+        for field in self.schema.fields {
+            if field.presence == Presence::Required && !seen.contains_key(field.name) {
+                let message = format!("the {} has no \"{}\"", self.schema.noun, field.name);
                 let help = format!("add \"{}\": {}, for example", field.name, field.example);
-                report.error(self.spot(), message, help);
+                report.error(self.pos(), message, help);
             }
         }
     }
 
     fn check_value(&self, report: &mut Report<'_>, field: &Field, prop: &ObjectProp<'_>) {
-        if let Some(message) = problem(field, &prop.value) {
-            let (kind, example) = (field.kind.describe(), field.example);
-            let help = format!("write {kind}, for example {example}");
-            report.error(self.at(&prop.value), message, help);
+        if let Some(message) = invalid_value_message(field, &prop.value) {
+            let (field_type, example) = (field.field_type.describe(), field.example);
+            let help = format!("write {field_type}, for example {example}");
+            report.error(self.value_pos(&prop.value), message, help);
         }
         let Value::Array(list) = &prop.value else { return };
         for element in &list.elements {
-            let fits = match field.kind {
-                Kind::Objects(_) => element.as_object().is_some(),
-                Kind::Texts => element.as_string_lit().is_some(),
+            let is_valid = match field.field_type {
+                FieldType::ObjectList(_) => element.as_object().is_some(),
+                FieldType::TextList => element.as_string_lit().is_some(),
                 _ => true,
             };
-            if !fits {
-                let message = format!("\"{}\" holds {}", field.name, noun(element));
+            if !is_valid {
+                let message = format!("\"{}\" holds {}", field.name, type_name(element));
                 let help =
-                    format!("write {}, for example {}", field.kind.describe(), field.example);
-                report.error(self.at(element), message, help);
+                    format!("write {}, for example {}", field.field_type.describe(), field.example);
+                report.error(self.value_pos(element), message, help);
             }
         }
     }
 
-    fn unknown(&self, report: &mut Report<'_>, name: &str, spot: Spot) {
-        let known = self.section.fields.iter().map(|f| f.name);
-        let help = match nearest(name, known.clone()) {
-            Some(near) => format!("did you mean \"{near}\"?"),
+    fn report_unknown_field(&self, report: &mut Report<'_>, name: &str, pos: Position) {
+        let known = self.schema.fields.iter().map(|f| f.name);
+        let help = match closest_match(name, known.clone()) {
+            Some(suggestion) => format!("did you mean \"{suggestion}\"?"),
             None => format!("it may have {}", known.collect::<Vec<_>>().join(", ")),
         };
-        report.error(spot, format!("the {} has no field {name:?}", self.section.noun), help);
+        report.error(pos, format!("the {} has no field {name:?}", self.schema.noun), help);
     }
 }
 
 /// What is wrong with a field's value.
-fn problem(field: &Field, value: &Value<'_>) -> Option<String> {
+fn invalid_value_message(field: &Field, value: &Value<'_>) -> Option<String> {
     let name = field.name;
-    let right = match (&field.kind, value) {
-        (Kind::Name, Value::StringLit(s)) => is_name(&s.value),
-        (Kind::Text, Value::StringLit(s)) => is_text(&s.value, 1),
-        (Kind::Secret { min }, Value::StringLit(s)) => is_text(&s.value, *min),
-        (Kind::Address, Value::StringLit(s)) => s.value.parse::<SocketAddr>().is_ok(),
-        (Kind::Choice(all), Value::StringLit(s)) => all.contains(&s.value.as_ref()),
-        (Kind::Whole { min, max }, Value::NumberLit(n)) => {
-            whole(n.value).is_some_and(|n| (*min..=*max).contains(&n))
+    let is_valid = match (&field.field_type, value) {
+        (FieldType::Name, Value::StringLit(s)) => is_name(&s.value),
+        (FieldType::Text, Value::StringLit(s)) => is_text(&s.value, 1),
+        (FieldType::Secret { min }, Value::StringLit(s)) => is_text(&s.value, *min),
+        (FieldType::Address, Value::StringLit(s)) => s.value.parse::<SocketAddr>().is_ok(),
+        (FieldType::Choice(choices), Value::StringLit(s)) => choices.contains(&s.value.as_ref()),
+        (FieldType::Integer { min, max }, Value::NumberLit(n)) => {
+            parse_integer(n.value).is_some_and(|n| (*min..=*max).contains(&n))
         }
-        (Kind::Number { min, max }, Value::NumberLit(n)) => {
-            number(n.value).is_some_and(|n| (*min..=*max).contains(&n))
+        (FieldType::Number { min, max }, Value::NumberLit(n)) => {
+            parse_number(n.value).is_some_and(|n| (*min..=*max).contains(&n))
         }
-        (Kind::Flag, Value::BooleanLit(_))
-        | (Kind::Object(_), Value::Object(_))
-        | (Kind::Texts | Kind::Objects(_), Value::Array(_)) => true,
-        _ => return Some(format!("\"{name}\" is {}", noun(value))),
+        (FieldType::Bool, Value::BooleanLit(_))
+        | (FieldType::Object(_), Value::Object(_))
+        | (FieldType::TextList | FieldType::ObjectList(_), Value::Array(_)) => true,
+        _ => return Some(format!("\"{name}\" is {}", type_name(value))),
     };
-    if right {
+    if is_valid {
         return None;
     }
     Some(match value {
-        _ if matches!(field.kind, Kind::Secret { .. }) => format!("\"{name}\" can't be this"),
+        _ if matches!(field.field_type, FieldType::Secret { .. }) => {
+            format!("\"{name}\" can't be this")
+        }
         Value::StringLit(s) if s.value.is_empty() => format!("\"{name}\" is empty"),
-        Value::StringLit(s) => format!("\"{name}\" can't be {:?}", brief(&s.value)),
+        Value::StringLit(s) => format!("\"{name}\" can't be {:?}", truncate(&s.value)),
         Value::NumberLit(n) => format!("\"{name}\" can't be {}", n.value),
         _ => format!("\"{name}\" can't be this"),
     })
 }
 
-fn noun(value: &Value<'_>) -> &'static str {
+fn type_name(value: &Value<'_>) -> &'static str {
     match value {
         Value::StringLit(_) => "a text",
         Value::NumberLit(_) => "a number",
@@ -225,13 +228,13 @@
 }
 
 /// The start of a text, for messages.
-fn brief(text: &str) -> String {
-    text.chars().take(MAX_NAME).collect()
+fn truncate(text: &str) -> String {
+    text.chars().take(MAX_NAME_LEN).collect()
 }
 
 fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    text.len() <= MAX_NAME
+    text.len() <= MAX_NAME_LEN
         && text.starts_with(|c: char| c.is_ascii_alphanumeric())
         && text.chars().all(allowed)
 }
@@ -240,17 +243,17 @@
     min <= text.chars().count() && !text.contains(|c: char| c.is_control())
 }
 
-fn number(text: &str) -> Option<f64> {
+fn parse_number(text: &str) -> Option<f64> {
     text.parse().ok().filter(|n: &f64| n.is_finite())
 }
 
 /// A whole number, also when it is written like 5e9. A fraction is none, and neither is a float
 /// beyond 2^53, which might stand for another number than the one written.
-fn whole(text: &str) -> Option<u64> {
-    const EXACT: f64 = 9_007_199_254_740_992.0;
+fn parse_integer(text: &str) -> Option<u64> {
+    const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
     if let Ok(n) = text.parse() {
         return Some(n);
     }
-    let n = number(text)?;
-    (n.fract() == 0.0 && (0.0..=EXACT).contains(&n)).then_some(n as u64)
+    let n = parse_number(text)?;
+    (n.fract() == 0.0 && (0.0..=MAX_EXACT_INTEGER).contains(&n)).then_some(n as u64)
 }
--- a/crates/basilbank_config/src/key.rs
+++ b/crates/basilbank_config/src/key.rs
@@ -10,7 +10,7 @@
 }
 
 /// Reads a hash that is written as 64 hex digits.
-pub(crate) fn parse_hash(text: &str) -> Option<KeyHash> {
+pub(crate) fn parse_key_hash(text: &str) -> Option<KeyHash> {
     let mut hash = KeyHash::default();
     if text.len() != 2 * hash.len() {
         return None;
--- a/crates/basilbank_config/src/lib.rs
+++ b/crates/basilbank_config/src/lib.rs
@@ -17,18 +17,20 @@
 mod finding;
 mod key;
 mod names;
-mod nearest;
 mod report;
 mod schema;
 mod settings;
+mod suggestion;
 mod syntax;
 
 pub use basilbank_wire::Document;
 
-pub use catalogue::{CATALOGUE, CheckedCatalogue, MAX_DOCUMENT, check_catalogue, parse_catalogue};
-pub use diff::{Change, Consequence, Item, Step, diff};
+pub use catalogue::{
+    CATALOGUE, CheckedCatalogue, MAX_DOCUMENT_BYTES, check_catalogue, parse_catalogue,
+};
+pub use diff::{Action, Change, Consequence, ItemKind, diff};
 pub use document::TextKind;
 pub use finding::{Finding, Findings, Severity};
 pub use key::key_hash;
-pub use schema::{Field, Kind, Need, Section};
+pub use schema::{Field, FieldType, ObjectSchema, Presence};
 pub use settings::{ApiLimits, LogSettings, SETTINGS, Settings};
--- a/crates/basilbank_config/src/names/tests.rs
+++ b/crates/basilbank_config/src/names/tests.rs
@@ -1,17 +1,17 @@
-use super::Names;
-use crate::report::{Report, Source, Spot};
+use super::NameTable;
+use crate::report::{Position, Report, Source};
 
 /// Symptom: calls for one entry run at another's endpoint. Sequence: two names with the same 64-bit
 /// hash come into one catalogue. Cause: things are known by their hash alone. No two such names are
 /// at hand, so the test gives two names the same hash.
 #[test]
-fn names_with_one_hash_are_found() {
+fn names_with_the_same_hash_are_reported() {
     let mut report = Report::new(vec![Source { name: "c", text: "ab\ncd" }]);
-    let mut names = Names::new("entry");
-    names.add(7, "one", Spot { file: 0, start: 0 });
-    names.add(7, "two", Spot { file: 0, start: 4 });
-    names.add(8, "three", Spot { file: 0, start: 1 });
-    names.seal(&mut report);
+    let mut names = NameTable::new("entry");
+    names.add(7, "one", Position { file: 0, offset: 0 });
+    names.add(7, "two", Position { file: 0, offset: 4 });
+    names.add(8, "three", Position { file: 0, offset: 1 });
+    names.sort_and_check_unique(&mut report);
     let findings = report.finish().to_string();
     assert_eq!(
         findings,
--- a/crates/basilbank_config/src/report.rs
+++ b/crates/basilbank_config/src/report.rs
@@ -6,11 +6,11 @@
 
 /// A place in one of the texts that are checked.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub(crate) struct Spot {
+pub(crate) struct Position {
     /// Position among the texts.
     pub file: usize,
     /// Byte offset.
-    pub start: usize,
+    pub offset: usize,
 }
 
 /// A text that is checked.
@@ -23,9 +23,9 @@
 }
 
 #[derive(Debug)]
-struct Raw {
-    spot: Spot,
-    other: Option<Spot>,
+struct PendingFinding {
+    pos: Position,
+    related: Option<Position>,
     severity: Severity,
     message: String,
     help: String,
@@ -36,13 +36,13 @@
 #[derive(Debug)]
 pub(crate) struct Report<'a> {
     sources: Vec<Source<'a>>,
-    raw: Vec<Raw>,
+    pending: Vec<PendingFinding>,
 }
 
 impl<'a> Report<'a> {
     /// No findings yet.
     pub fn new(sources: Vec<Source<'a>>) -> Report<'a> {
-        Report { sources, raw: Vec::new() }
+        Report { sources, pending: Vec::new() }
     }
 
     /// The texts.
@@ -51,81 +51,87 @@
     }
 
     /// Adds an error: what is wrong, and what to write instead.
-    pub fn error(&mut self, spot: Spot, message: impl Into<String>, help: impl Into<String>) {
-        self.add(spot, None, Severity::Error, message.into(), help.into());
+    pub fn error(&mut self, pos: Position, message: impl Into<String>, help: impl Into<String>) {
+        self.add(pos, None, Severity::Error, message.into(), help.into());
     }
 
     /// Adds an error that another place has a part in.
-    pub fn clash(
+    pub fn conflict(
         &mut self,
-        spot: Spot,
-        other: Spot,
+        pos: Position,
+        related: Position,
         message: impl Into<String>,
         help: impl Into<String>,
     ) {
-        self.add(spot, Some(other), Severity::Error, message.into(), help.into());
+        self.add(pos, Some(related), Severity::Error, message.into(), help.into());
     }
 
     /// Adds a warning.
-    pub fn warning(&mut self, spot: Spot, message: impl Into<String>, help: impl Into<String>) {
-        self.add(spot, None, Severity::Warning, message.into(), help.into());
+    pub fn warning(&mut self, pos: Position, message: impl Into<String>, help: impl Into<String>) {
+        self.add(pos, None, Severity::Warning, message.into(), help.into());
     }
 
     fn add(
         &mut self,
-        spot: Spot,
-        other: Option<Spot>,
+        pos: Position,
+        related: Option<Position>,
         severity: Severity,
         message: String,
         help: String,
     ) {
-        self.raw.push(Raw { spot, other, severity, message, help });
+        self.pending.push(PendingFinding { pos, related, severity, message, help });
     }
 
     /// All findings, with their places, in order.
     pub fn finish(self) -> Findings {
-        let places = self.places();
-        let mut raw = self.raw;
-        raw.sort_by(|a, b| (a.spot, &a.message).cmp(&(b.spot, &b.message)));
-        let finding = |raw: Raw| {
-            let (line, column) = places[&raw.spot];
-            let mut message = raw.message;
-            if let Some(other) = raw.other {
-                let (line, column) = places[&other];
-                let name = self.sources[other.file].name;
+        let line_columns = self.line_columns();
+        let mut pending = self.pending;
+        pending.sort_by(|a, b| (a.pos, &a.message).cmp(&(b.pos, &b.message)));
+        let finding = |pending: PendingFinding| {
+            let (line, column) = line_columns[&pending.pos];
+            let mut message = pending.message;
+            if let Some(related) = pending.related {
+                let (line, column) = line_columns[&related];
+                let name = self.sources[related.file].name;
                 message.push_str(&format!(" (the other is at {name}:{line}:{column})"));
             }
-            let file = self.sources[raw.spot.file].name.to_owned();
-            Finding { file, line, column, severity: raw.severity, message, help: raw.help }
+            let file = self.sources[pending.pos.file].name.to_owned();
+            Finding { file, line, column, severity: pending.severity, message, help: pending.help }
         };
-        Findings { items: raw.into_iter().map(finding).collect() }
+        Findings { items: pending.into_iter().map(finding).collect() }
     }
 
-    fn places(&self) -> HashMap<Spot, (usize, usize)> {
-        let mut spots: Vec<Spot> =
-            self.raw.iter().flat_map(|raw| [Some(raw.spot), raw.other]).flatten().collect();
-        spots.sort_unstable();
-        spots.dedup();
-        let files = spots.chunk_by(|a, b| a.file == b.file);
-        files.flat_map(|spots| locate(self.sources[spots[0].file].text, spots)).collect()
+    fn line_columns(&self) -> HashMap<Position, (usize, usize)> {
+        let mut positions: Vec<Position> = self
+            .pending
+            .iter()
+            .flat_map(|pending| [Some(pending.pos), pending.related])
+            .flatten()
+            .collect();
+        positions.sort_unstable();
+        positions.dedup();
+        let files = positions.chunk_by(|a, b| a.file == b.file);
+        files
+            .flat_map(|positions| locate(self.sources[positions[0].file].text, positions))
+            .collect()
     }
 }
 
 /// Lines and columns of sorted spots in one text.
-fn locate(text: &str, spots: &[Spot]) -> Vec<(Spot, (usize, usize))> {
-    let (mut line, mut column, mut at) = (1, 1, 0);
-    let mut found = Vec::with_capacity(spots.len());
-    for spot in spots {
-        let end = text.floor_char_boundary(spot.start);
-        for c in text[at..end].chars() {
+fn locate(text: &str, positions: &[Position]) -> Vec<(Position, (usize, usize))> {
+    let (mut line, mut column, mut scanned) = (1, 1, 0);
+    let mut located = Vec::with_capacity(positions.len());
+    for pos in positions {
+        let end = text.floor_char_boundary(pos.offset);
+        for c in text[scanned..end].chars() {
             column += 1;
             if c == '\n' {
                 line += 1;
                 column = 1;
             }
         }
-        at = end;
-        found.push((*spot, (line, column)));
+        scanned = end;
+        located.push((*pos, (line, column)));
     }
-    found
+    located
 }
--- a/crates/basilbank_config/src/schema.rs
+++ b/crates/basilbank_config/src/schema.rs
@@ -3,7 +3,7 @@
 
 /// The fields of one kind of object.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Section {
+pub struct ObjectSchema {
     /// What one such object is called in findings, for example `team`.
     pub noun: &'static str,
     /// Its fields.
@@ -16,9 +16,9 @@
     /// Its name; a unit is part of it.
     pub name: &'static str,
     /// Whether it may be left out.
-    pub need: Need,
+    pub presence: Presence,
     /// What it may hold.
-    pub kind: Kind,
+    pub field_type: FieldType,
     /// A value that it may have, as JSON.
     pub example: &'static str,
     /// What it is for.
@@ -27,7 +27,7 @@
 
 /// Whether a field may be left out.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Need {
+pub enum Presence {
     /// It must be there.
     Required,
     /// It may be left out. The text says what holds then: a JSON value, or words.
@@ -36,7 +36,7 @@
 
 /// What a field may hold.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Kind {
+pub enum FieldType {
     /// Letters, digits, `.`, `_` and `-`: at most 100, the first a letter or digit.
     Name,
     /// Text without control characters.
@@ -51,9 +51,9 @@
     /// One of these texts.
     Choice(&'static [&'static str]),
     /// `true` or `false`.
-    Flag,
+    Bool,
     /// A whole number; 5e9 is one.
-    Whole {
+    Integer {
         /// Smallest value.
         min: u64,
         /// Largest value.
@@ -67,14 +67,14 @@
         max: f64,
     },
     /// A list of texts.
-    Texts,
+    TextList,
     /// An object.
-    Object(&'static Section),
+    Object(&'static ObjectSchema),
     /// A list of objects.
-    Objects(&'static Section),
+    ObjectList(&'static ObjectSchema),
 }
 
-impl Section {
+impl ObjectSchema {
     /// The field of a name.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&'static Field> {
@@ -83,30 +83,31 @@
 
     /// The fields as a Markdown table, for the operators' reference.
     #[must_use]
-    pub fn table(&self) -> String {
+    pub fn markdown_table(&self) -> String {
         let mut table =
             "| field | holds | when left out | |\n| --- | --- | --- | --- |\n".to_owned();
-        for Field { name, need, kind, doc, .. } in self.fields {
-            let default = match need {
-                Need::Required => "must be there",
-                Need::Optional(default) => default,
+        for Field { name, presence, field_type, doc, .. } in self.fields {
+            let default = match presence {
+                Presence::Required => "must be there",
+                Presence::Optional(default) => default,
             };
-            let holds = kind.describe();
-            table.push_str(&format!("| `{name}` | {holds} | {default} | {doc} |\n"));
+            let value_text = field_type.describe();
+            table.push_str(&format!("| `{name}` | {value_text} | {default} | {doc} |\n"));
         }
         table
     }
 
     /// This section and those within it, each with the path of fields that leads to it.
     #[must_use]
-    pub fn walk(&'static self) -> Vec<(String, &'static Section)> {
+    pub fn with_nested(&'static self) -> Vec<(String, &'static ObjectSchema)> {
         let mut all = vec![(String::new(), self)];
         let mut next = 0;
-        while let Some((path, section)) = all.get(next).cloned() {
-            for field in section.fields {
-                if let Kind::Object(inner) | Kind::Objects(inner) = field.kind {
+        while let Some((path, schema)) = all.get(next).cloned() {
+            for field in schema.fields {
+                if let FieldType::Object(nested) | FieldType::ObjectList(nested) = field.field_type
+                {
                     let dot = if path.is_empty() { "" } else { "." };
-                    all.push((format!("{path}{dot}{}", field.name), inner));
+                    all.push((format!("{path}{dot}{}", field.name), nested));
                 }
             }
             next += 1;
@@ -117,18 +118,22 @@
 
 impl Field {
     /// A field that must be there.
-    pub(crate) const fn required(name: &'static str, kind: Kind, example: &'static str) -> Field {
-        Field { name, need: Need::Required, kind, example, doc: "" }
+    pub(crate) const fn required(
+        name: &'static str,
+        field_type: FieldType,
+        example: &'static str,
+    ) -> Field {
+        Field { name, presence: Presence::Required, field_type, example, doc: "" }
     }
 
     /// A field that may be left out.
     pub(crate) const fn optional(
         name: &'static str,
-        kind: Kind,
+        field_type: FieldType,
         default: &'static str,
         example: &'static str,
     ) -> Field {
-        Field { name, need: Need::Optional(default), kind, example, doc: "" }
+        Field { name, presence: Presence::Optional(default), field_type, example, doc: "" }
     }
 
     /// Says what it is for.
@@ -137,27 +142,27 @@
     }
 }
 
-impl Kind {
+impl FieldType {
     /// Milliseconds from `min` to an hour.
-    pub(crate) const fn millis(min: u64) -> Kind {
-        Kind::Whole { min, max: 3_600_000 }
+    pub(crate) const fn millis(min: u64) -> FieldType {
+        FieldType::Integer { min, max: 3_600_000 }
     }
 
     /// What it holds, in words.
     #[must_use]
     pub fn describe(&self) -> String {
         match self {
-            Kind::Name => "a name of letters, digits, '.', '_' and '-'".to_owned(),
-            Kind::Text => "a text".to_owned(),
-            Kind::Secret { min } => format!("a text of at least {min} characters"),
-            Kind::Address => "an IP number with a port".to_owned(),
-            Kind::Choice(all) => format!("one of {}", all.join(", ")),
-            Kind::Flag => "true or false".to_owned(),
-            Kind::Whole { min, max } => format!("a whole number from {min} to {max}"),
-            Kind::Number { min, max } => format!("a number from {min} to {max}"),
-            Kind::Texts => "a list of texts".to_owned(),
-            Kind::Object(section) => format!("an object ({})", section.noun),
-            Kind::Objects(section) => format!("a list of objects ({})", section.noun),
+            FieldType::Name => "a name of letters, digits, '.', '_' and '-'".to_owned(),
+            FieldType::Text => "a text".to_owned(),
+            FieldType::Secret { min } => format!("a text of at least {min} characters"),
+            FieldType::Address => "an IP number with a port".to_owned(),
+            FieldType::Choice(all) => format!("one of {}", all.join(", ")),
+            FieldType::Bool => "true or false".to_owned(),
+            FieldType::Integer { min, max } => format!("a whole number from {min} to {max}"),
+            FieldType::Number { min, max } => format!("a number from {min} to {max}"),
+            FieldType::TextList => "a list of texts".to_owned(),
+            FieldType::Object(schema) => format!("an object ({})", schema.noun),
+            FieldType::ObjectList(schema) => format!("a list of objects ({})", schema.noun),
         }
     }
 }
--- a/crates/basilbank_config/src/settings.rs
+++ b/crates/basilbank_config/src/settings.rs
@@ -38,13 +38,13 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         Settings {
             name: String::new(),
             data_centre: String::new(),
-            callers: any,
-            peers: any,
-            admin: any,
+            callers: loopback,
+            peers: loopback,
+            admin: loopback,
             platform: String::new(),
             peer_key: String::new(),
             admin_key: String::new(),
--- a/crates/basilbank_config/src/settings/read.rs
+++ b/crates/basilbank_config/src/settings/read.rs
@@ -20,17 +20,17 @@
     /// All that is wrong with the text, at once.
     pub fn parse(file_name: &str, text: &str) -> Result<Settings, Findings> {
         let mut report = Report::new(vec![Source { name: file_name, text }]);
-        let root = syntax::root(&mut report, 0);
+        let root = syntax::parse_root(&mut report, 0);
         let settings = root.map(|root| {
             let fields = Fields::new(&mut report, 0, &SETTINGS, &root);
-            read(&mut report, &fields)
+            read_settings(&mut report, &fields)
         });
         let findings = report.finish();
         settings.filter(|_| findings.error_count() == 0).ok_or(findings)
     }
 }
 
-fn read(report: &mut Report<'_>, fields: &Fields<'_, '_>) -> Settings {
+fn read_settings(report: &mut Report<'_>, fields: &Fields<'_, '_>) -> Settings {
     check_platform(report, fields);
     check_addresses(report, fields);
     check_keys(report, fields);
@@ -60,7 +60,7 @@
     let host = url.strip_prefix("http://").map(|rest| rest.trim_end_matches('/'));
     if host.is_none_or(|host| host.parse::<SocketAddr>().is_err()) {
         let help = "write http://, an IP number and a port, for example \"http://10.0.0.9:2379\"";
-        report.error(fields.spot_of("platform"), "\"platform\" is not a base URL", help);
+        report.error(fields.pos_of("platform"), "\"platform\" is not a base URL", help);
     }
 }
 
@@ -69,9 +69,9 @@
 fn check_keys(report: &mut Report<'_>, fields: &Fields<'_, '_>) {
     let (peer, admin) = (fields.text("peer_key"), fields.text("admin_key"));
     if peer.is_some() && peer == admin {
-        let (spot, other) = (fields.spot_of("admin_key"), fields.spot_of("peer_key"));
+        let (pos, other) = (fields.pos_of("admin_key"), fields.pos_of("peer_key"));
         let message = "\"admin_key\" is the same as \"peer_key\"";
-        report.clash(spot, other, message, "write another random text");
+        report.conflict(pos, other, message, "write another random text");
     }
 }
 
@@ -83,8 +83,8 @@
             let (a, b) = (fields.address(first), fields.address(second));
             if a.is_some_and(|a| a.port() != 0) && a == b {
                 let message = format!("\"{second}\" has the address of \"{first}\"");
-                let (spot, other) = (fields.spot_of(second), fields.spot_of(first));
-                report.clash(spot, other, message, "give each its own port");
+                let (pos, other) = (fields.pos_of(second), fields.pos_of(first));
+                report.conflict(pos, other, message, "give each its own port");
             }
         }
     }
@@ -93,13 +93,15 @@
 fn read_limits(fields: &Fields<'_, '_>) -> ApiLimits {
     let default = ApiLimits::default();
     ApiLimits {
-        max_body_bytes: fields.count("body_bytes").unwrap_or(default.max_body_bytes),
-        max_header_bytes: fields.count("header_bytes").unwrap_or(default.max_header_bytes),
-        max_connections: fields.count("connections").unwrap_or(default.max_connections),
+        max_body_bytes: fields.integer_as("body_bytes").unwrap_or(default.max_body_bytes),
+        max_header_bytes: fields.integer_as("header_bytes").unwrap_or(default.max_header_bytes),
+        max_connections: fields.integer_as("connections").unwrap_or(default.max_connections),
         header_timeout: fields.millis("header_timeout_ms").unwrap_or(default.header_timeout),
         body_timeout: fields.millis("body_timeout_ms").unwrap_or(default.body_timeout),
-        max_answer_bytes: fields.count("answer_bytes").unwrap_or(default.max_answer_bytes),
-        max_backlog_tokens: fields.count("backlog_tokens").unwrap_or(default.max_backlog_tokens),
+        max_answer_bytes: fields.integer_as("answer_bytes").unwrap_or(default.max_answer_bytes),
+        max_backlog_tokens: fields
+            .integer_as("backlog_tokens")
+            .unwrap_or(default.max_backlog_tokens),
     }
 }
 
@@ -110,34 +112,34 @@
 
 fn read_tuning(report: &mut Report<'_>, fields: &Fields<'_, '_>) -> Tuning {
     let mut tuning = Tuning::default();
-    set(&mut tuning.heartbeat, fields.millis("heartbeat_ms"));
-    set(&mut tuning.fan_out, fields.count("fan_out"));
-    set(&mut tuning.dead_after, fields.millis("dead_after_ms"));
-    set(&mut tuning.pause, fields.millis("pause_ms"));
-    set(&mut tuning.slot_lease, fields.millis("slot_lease_ms"));
-    set(&mut tuning.peer_timeout, fields.millis("peer_timeout_ms"));
-    set(&mut tuning.attempts, fields.count("attempts"));
-    set(&mut tuning.retry_ratio, fields.number("retry_ratio"));
-    set(&mut tuning.backoff, fields.millis("backoff_ms"));
-    set(&mut tuning.max_backoff, fields.millis("max_backoff_ms"));
-    set(&mut tuning.kv_life, fields.millis("kv_life_ms"));
-    set(&mut tuning.stall, fields.millis("stall_ms"));
-    set(&mut tuning.queue, fields.count("queue"));
-    set(&mut tuning.key_window, fields.millis("key_window_ms"));
-    set(&mut tuning.keys, fields.count("keys"));
-    set(&mut tuning.skew, fields.millis("skew_ms"));
-    set(&mut tuning.load_interval, fields.millis("load_interval_ms"));
-    set(&mut tuning.reap_interval, fields.millis("reap_interval_ms"));
-    set(&mut tuning.stream_grace, fields.millis("stream_grace_ms"));
-    set(&mut tuning.unread_limit, fields.millis("unread_limit_ms"));
+    override_if_some(&mut tuning.heartbeat, fields.millis("heartbeat_ms"));
+    override_if_some(&mut tuning.fan_out, fields.integer_as("fan_out"));
+    override_if_some(&mut tuning.dead_after, fields.millis("dead_after_ms"));
+    override_if_some(&mut tuning.pause, fields.millis("pause_ms"));
+    override_if_some(&mut tuning.slot_lease, fields.millis("slot_lease_ms"));
+    override_if_some(&mut tuning.peer_timeout, fields.millis("peer_timeout_ms"));
+    override_if_some(&mut tuning.attempts, fields.integer_as("attempts"));
+    override_if_some(&mut tuning.retry_ratio, fields.number("retry_ratio"));
+    override_if_some(&mut tuning.backoff, fields.millis("backoff_ms"));
+    override_if_some(&mut tuning.max_backoff, fields.millis("max_backoff_ms"));
+    override_if_some(&mut tuning.kv_life, fields.millis("kv_life_ms"));
+    override_if_some(&mut tuning.stall, fields.millis("stall_ms"));
+    override_if_some(&mut tuning.queue, fields.integer_as("queue"));
+    override_if_some(&mut tuning.key_window, fields.millis("key_window_ms"));
+    override_if_some(&mut tuning.keys, fields.integer_as("keys"));
+    override_if_some(&mut tuning.skew, fields.millis("skew_ms"));
+    override_if_some(&mut tuning.load_interval, fields.millis("load_interval_ms"));
+    override_if_some(&mut tuning.reap_interval, fields.millis("reap_interval_ms"));
+    override_if_some(&mut tuning.stream_grace, fields.millis("stream_grace_ms"));
+    override_if_some(&mut tuning.unread_limit, fields.millis("unread_limit_ms"));
     check_tuning(report, fields, &tuning);
     tuning
 }
 
 /// Takes a value over if there is one.
-fn set<T>(slot: &mut T, value: Option<T>) {
+fn override_if_some<T>(target: &mut T, value: Option<T>) {
     if let Some(value) = value {
-        *slot = value;
+        *target = value;
     }
 }
 
@@ -146,11 +148,11 @@
         // With less, one lost heartbeat makes a live daemon count as dead.
         let message = "\"dead_after_ms\" is less than three heartbeats";
         let help = format!("write at least {}", 3 * tuning.heartbeat.as_millis());
-        report.error(fields.spot_of("dead_after_ms"), message, help);
+        report.error(fields.pos_of("dead_after_ms"), message, help);
     }
     if tuning.max_backoff < tuning.backoff {
         let message = "\"max_backoff_ms\" is less than \"backoff_ms\"";
         let help = format!("write at least {}", tuning.backoff.as_millis());
-        report.error(fields.spot_of("max_backoff_ms"), message, help);
+        report.error(fields.pos_of("max_backoff_ms"), message, help);
     }
 }
--- a/crates/basilbank_config/src/syntax.rs
+++ b/crates/basilbank_config/src/syntax.rs
@@ -2,10 +2,10 @@
 
 use jsonc_parser::{CollectOptions, ParseOptions, ast::Object, ast::Value, parse_to_ast};
 
-use crate::report::{Report, Spot};
+use crate::report::{Position, Report};
 
 /// JSON with comments and trailing commas, and nothing else.
-const OPTIONS: ParseOptions = ParseOptions {
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
@@ -19,26 +19,30 @@
 };
 
 /// The object that a text consists of. Whatever hinders that is reported.
-pub(crate) fn root<'a>(report: &mut Report<'a>, file: usize) -> Option<Object<'a>> {
+pub(crate) fn parse_root<'a>(report: &mut Report<'a>, file: usize) -> Option<Object<'a>> {
     let text = report.source(file).text;
-    let parsed = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
+    let parsed = match parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS) {
         Ok(parsed) => parsed,
         Err(error) => {
-            let spot = Spot { file, start: error.range().start };
+            let pos = Position { file, offset: error.range().start };
             let kind = error.kind().to_string();
-            report.error(spot, format!("not JSON: {}", lower(&kind)), "correct the syntax here");
+            report.error(
+                pos,
+                format!("not JSON: {}", lowercase_first(&kind)),
+                "correct the syntax here",
+            );
             return None;
         }
     };
     let Some(Value::Object(object)) = parsed.value else {
-        let spot = Spot { file, start: 0 };
-        report.error(spot, "the text is not an object", "write { … } with the fields in it");
+        let pos = Position { file, offset: 0 };
+        report.error(pos, "the text is not an object", "write { … } with the fields in it");
         return None;
     };
     Some(object)
 }
 
-fn lower(text: &str) -> String {
+fn lowercase_first(text: &str) -> String {
     let mut chars = text.chars();
     chars.next().map(|c| c.to_ascii_lowercase()).into_iter().chain(chars).collect()
 }
--- a/crates/basilbank_config/tests/catalogue_findings.rs
+++ b/crates/basilbank_config/tests/catalogue_findings.rs
@@ -3,7 +3,7 @@
 use basilbank_config::{Document, check_catalogue, parse_catalogue};
 use test_case::test_case;
 
-const SOUND: &str = r#"{
+const VALID_CATALOGUE: &str = r#"{
   "teams": [{ "name": "fitters", "keys": [] }, { "name": "office" }],
   "classes": [{ "name": "draft", "ttft_ms": 340, "tbt_ms": 44 }, { "name": "lookup", "ttft_ms": 90 }],
   "models": [{ "name": "writer", "version": "v7", "weight_bytes": 16e9, "kv_bytes_per_token": 131072 }],
@@ -31,20 +31,20 @@
 }
 
 /// The findings of the sound catalogue with `text` as a second document.
-fn findings_beside(text: &str) -> Vec<String> {
-    let findings = check_catalogue(1, &documents(&[SOUND, text])).findings;
+fn findings_with(text: &str) -> Vec<String> {
+    let findings = check_catalogue(1, &documents(&[VALID_CATALOGUE, text])).findings;
     findings.items.iter().map(ToString::to_string).collect()
 }
 
-fn assert_one(all: &[String], place: &str, part: &str) {
-    let [one] = all else { panic!("one finding is expected: {all:#?}") };
-    assert!(one.starts_with(place), "{one}");
-    assert!(one.contains(part), "{one}");
+fn assert_single_finding(findings: &[String], position: &str, expected: &str) {
+    let [finding] = findings else { panic!("one finding is expected: {findings:#?}") };
+    assert!(finding.starts_with(position), "{finding}");
+    assert!(finding.contains(expected), "{finding}");
 }
 
 #[test]
-fn a_sound_catalogue_has_no_findings() {
-    let checked = check_catalogue(7, &documents(&[SOUND]));
+fn valid_catalogue_has_no_findings() {
+    let checked = check_catalogue(7, &documents(&[VALID_CATALOGUE]));
     assert_eq!(checked.findings.to_string(), "");
     let catalogue = checked.catalogue.unwrap();
     assert_eq!(catalogue.revision, 7);
@@ -98,10 +98,17 @@
 #[test_case("{ \"endpoints\": [{ \"name\": \"x\", \"address\": \"10.0.0.9:8000\", \"data_centre\": \"h\", \"role\": \"prefill\", \"model\": \"writer\", \"slots\": 1, \"link_bytes_per_s\": 1 }] }", "1:88", "needs \"prefill_tokens_per_s\""; "prefill without rate")]
 #[test_case("{ \"endpoints\": [{ \"name\": \"x\", \"address\": \"10.0.0.9:8000\", \"data_centre\": \"h\", \"role\": \"plain\", \"service\": \"desk\", \"slots\": 1, \"orders\": true }] }", "1:138", "role plain has no \"orders\""; "orders to a plain endpoint")]
 #[test_case("{ \"weight_store\": {} }", "1:19", "has no \"bytes_per_s\""; "weight store without rate")]
-fn a_finding(text: &str, place: &str, part: &str) {
-    let place =
-        if place.matches(':').count() == 2 { place.to_owned() } else { format!("1:{place}") };
-    assert_one(&findings_beside(text), &format!("catalogue/{place}: error: "), part);
+fn error_is_reported(text: &str, position: &str, expected: &str) {
+    let position = if position.matches(':').count() == 2 {
+        position.to_owned()
+    } else {
+        format!("1:{position}")
+    };
+    assert_single_finding(
+        &findings_with(text),
+        &format!("catalogue/{position}: error: "),
+        expected,
+    );
 }
 
 #[test_case("{ \"models\": [{ \"name\": \"x\", \"version\": \"1\", \"weight_bytes\": 1, \"kv_bytes_per_token\": 1 }],
@@ -111,27 +118,31 @@
 #[test_case("{ \"services\": [{ \"name\": \"x\", \"prefix\": \"/x/\" }],
     \"entries\": [{ \"name\": \"x\", \"owner\": \"fitters\", \"class\": \"lookup\", \"service\": \"x\" }] }",
     "2:17", "no endpoint of role plain serves service \"x\""; "no plain endpoint")]
-fn a_warning(text: &str, place: &str, part: &str) {
-    assert_one(&findings_beside(text), &format!("catalogue/1:{place}: warning: "), part);
-    assert!(parse_catalogue(1, &documents(&[SOUND, text])).is_ok());
+fn warning_is_reported(text: &str, position: &str, expected: &str) {
+    assert_single_finding(
+        &findings_with(text),
+        &format!("catalogue/1:{position}: warning: "),
+        expected,
+    );
+    assert!(parse_catalogue(1, &documents(&[VALID_CATALOGUE, text])).is_ok());
 }
 
 #[test]
-fn keys_shared_by_teams_are_found() {
+fn key_shared_by_two_teams_is_an_error() {
     let hash = "0f".repeat(32);
     let text = format!(
         "{{ \"teams\": [{{ \"name\": \"a\", \"keys\": [\"{hash}\"] }},\n{{ \"name\": \"b\", \"keys\": [\"{}\"] }}] }}",
         hash.to_uppercase()
     );
-    let part = "teams \"a\" and \"b\" have the same key (the other is at catalogue/1:1:37)";
-    assert_one(&findings_beside(&text), "catalogue/1:2:25: error: ", part);
+    let expected = "teams \"a\" and \"b\" have the same key (the other is at catalogue/1:1:37)";
+    assert_single_finding(&findings_with(&text), "catalogue/1:2:25: error: ", expected);
 }
 
 #[test]
-fn two_weight_stores_are_found() {
+fn two_weight_stores_are_an_error() {
     let text = "{ \"weight_store\": { \"bytes_per_s\": 1 } }";
     let findings = check_catalogue(1, &documents(&[text, text])).findings;
-    assert_one(
+    assert_single_finding(
         &findings.items.iter().map(ToString::to_string).collect::<Vec<_>>(),
         "catalogue/1:1:19",
         "two weight stores (the other is at catalogue/0:1:19)",
@@ -139,30 +150,30 @@
 }
 
 #[test]
-fn a_document_over_a_megabyte_is_found() {
+fn document_over_one_megabyte_is_an_error() {
     let text = format!("{{}} // {}", "x".repeat(1_000_000));
-    assert_one(&findings_beside(&text), "catalogue/1:1:1", "1000006 bytes, over 1000000");
+    assert_single_finding(&findings_with(&text), "catalogue/1:1:1", "1000006 bytes, over 1000000");
 }
 
 #[test]
-fn all_findings_come_at_once_in_order() {
+fn all_findings_are_reported_in_order() {
     let text = "{\n  \"teams\": [{ \"nam\": \"x\" }],\n  \"classes\": [{ \"name\": \"c\", \"ttft_ms\": \"fast\" }],\n  \"entries\": [{ \"name\": \"e\", \"owner\": \"nobody\", \"class\": \"c\", \"model\": \"writer\" }]\n}";
-    let places: Vec<_> = check_catalogue(1, &documents(&[SOUND, text]))
+    let positions: Vec<_> = check_catalogue(1, &documents(&[VALID_CATALOGUE, text]))
         .findings
         .items
         .iter()
         .map(|f| (f.line, f.column))
         .collect();
-    assert_eq!(places, [(2, 13), (2, 15), (3, 41), (4, 39)]);
+    assert_eq!(positions, [(2, 13), (2, 15), (3, 41), (4, 39)]);
 }
 
 /// Symptom: hundreds of findings that hide the one that matters. Sequence: one document of several
 /// is cut short; the others refer into it. Cause: what it holds isn't known.
 #[test]
-fn a_broken_document_is_the_only_finding() {
-    let broken = &SOUND[..SOUND.len() - 1];
+fn unparsable_document_is_the_only_finding() {
+    let truncated = &VALID_CATALOGUE[..VALID_CATALOGUE.len() - 1];
     let entries = "{ \"entries\": [{ \"name\": \"x\", \"owner\": \"fitters\", \"class\": \"draft\", \"model\": \"writer\" }] }";
-    let findings = check_catalogue(1, &documents(&[entries, broken])).findings;
+    let findings = check_catalogue(1, &documents(&[entries, truncated])).findings;
     assert_eq!(findings.error_count(), 1);
     assert_eq!(findings.items[0].file, "catalogue/1");
 }
@@ -170,18 +181,18 @@
 /// Symptom: one daemon takes a revision, another rejects it. Cause: the check depends on something
 /// other than the texts, for example the order in which documents came.
 #[test]
-fn the_order_of_documents_does_not_matter() {
+fn document_order_does_not_affect_the_result() {
     let other = "{ \"teams\": [{ \"name\": \"a\" }, { \"name\": \"office\" }] }";
-    let forward = documents(&[SOUND, other, "{ \"teams\": [{ \"name\": \"b\" }] }"]);
-    let mut backward = forward.clone();
-    backward.reverse();
-    assert_eq!(check_catalogue(1, &forward), check_catalogue(1, &backward));
-    assert_eq!(check_catalogue(1, &forward).findings.len(), 1);
+    let in_order = documents(&[VALID_CATALOGUE, other, "{ \"teams\": [{ \"name\": \"b\" }] }"]);
+    let mut reversed = in_order.clone();
+    reversed.reverse();
+    assert_eq!(check_catalogue(1, &in_order), check_catalogue(1, &reversed));
+    assert_eq!(check_catalogue(1, &in_order).findings.len(), 1);
 }
 
 #[test]
-fn removed_documents_are_left_out() {
-    let mut all = documents(&[SOUND, "not JSON"]);
-    all[1].text = None;
-    assert!(parse_catalogue(1, &all).is_ok());
+fn removed_documents_are_ignored() {
+    let mut documents = documents(&[VALID_CATALOGUE, "not JSON"]);
+    documents[1].text = None;
+    assert!(parse_catalogue(1, &documents).is_ok());
 }
--- a/crates/basilbank_config/tests/diff.rs
+++ b/crates/basilbank_config/tests/diff.rs
@@ -40,12 +40,12 @@
 #[test_case("\"teams\": [", "\"teams\": [{ \"name\": \"office\" }, ", "+ team office; 0 keys are accepted that weren't, 0 no longer"; "team added")]
 #[test_case("\"name\": \"d1\"", "\"name\": \"d2\"", "- endpoint d1; endpoint drains\n+ endpoint d2; endpoint takes new work"; "endpoint renamed")]
 #[test_case("\"quotes\"", "\"scopes\"", "- entry quotes; new calls of fitters to model writer by this entry are refused\n+ entry scopes; fitters may use model writer"; "entry renamed")]
-fn a_change(from: &str, to: &str, expected: &str) {
+fn change_is_described(from: &str, to: &str, expected: &str) {
     assert_eq!(changes(from, to).join("\n"), expected);
 }
 
 #[test]
-fn order_comments_and_revision_are_no_change() {
+fn comments_and_revision_are_not_changes() {
     let mut new =
         catalogue(&OLD.replace("{ \"name\": \"fitters\"", "/* x */ { \"name\": \"fitters\""));
     new.revision = 9;
--- a/crates/basilbank_config/tests/examples.rs
+++ b/crates/basilbank_config/tests/examples.rs
@@ -1,7 +1,7 @@
 //! The examples have no findings, and show every field that there is.
 
 use basilbank_config::{
-    CATALOGUE, Document, LogSettings, SETTINGS, Section, Settings, check_catalogue, key_hash,
+    CATALOGUE, Document, LogSettings, ObjectSchema, SETTINGS, Settings, check_catalogue, key_hash,
 };
 use basilbank_core::{
     catalogue::{Catalogue, Role},
@@ -13,7 +13,7 @@
 const KOMMUNKALKYL: &str = include_str!("../examples/kommunkalkyl.jsonc");
 const SETTINGS_TEXT: &str = include_str!("../examples/settings.jsonc");
 
-fn sound(text: &str) -> Catalogue {
+fn parse_without_findings(text: &str) -> Catalogue {
     let document = Document { key: "example".into(), text: Some(text.into()), revision: 1 };
     let checked = check_catalogue(1, &[document]);
     assert_eq!(checked.findings.to_string(), "");
@@ -22,10 +22,10 @@
 
 #[test_case(KITAFUJI, 10, "sapporo-example-key", "fitters-sapporo"; "kitafuji")]
 #[test_case(KOMMUNKALKYL, 20, "support-example-key", "support"; "kommunkalkyl")]
-fn a_catalogue(text: &str, runners: usize, key: &str, team: &str) {
-    let catalogue = sound(text);
+fn catalogue_has_no_findings(text: &str, model_endpoints: usize, key: &str, team: &str) {
+    let catalogue = parse_without_findings(text);
     let plain = catalogue.endpoints.iter().filter(|e| e.role == Role::Plain).count();
-    assert_eq!((catalogue.endpoints.len() - plain, plain), (runners, 4));
+    assert_eq!((catalogue.endpoints.len() - plain, plain), (model_endpoints, 4));
     let mut data_centres: Vec<_> = catalogue.endpoints.iter().map(|e| e.data_centre).collect();
     data_centres.sort();
     data_centres.dedup();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn settings_with_the_defaults() {
+fn settings_example_has_the_default_tuning() {
     let settings = Settings::parse("settings.jsonc", SETTINGS_TEXT).unwrap();
     assert_eq!(settings.tuning, Tuning::default());
     let file = Some("basilbankd.log".to_owned());
@@ -44,11 +44,11 @@
 
 #[test_case(&CATALOGUE, KITAFUJI; "catalogue")]
 #[test_case(&SETTINGS, SETTINGS_TEXT; "settings")]
-fn each_field_is_shown(section: &'static Section, text: &str) {
-    for (path, section) in section.walk() {
-        for field in section.fields {
-            let shown = text.contains(&format!("\"{}\":", field.name));
-            assert!(shown, "{path}.{} isn't in the example", field.name);
+fn every_field_is_in_the_example(schema: &'static ObjectSchema, text: &str) {
+    for (path, schema) in schema.with_nested() {
+        for field in schema.fields {
+            let is_present = text.contains(&format!("\"{}\":", field.name));
+            assert!(is_present, "{path}.{} isn't in the example", field.name);
         }
     }
 }
--- a/crates/basilbank_config/tests/any_text.rs
+++ b/crates/basilbank_config/tests/invalid_text.rs
@@ -3,10 +3,10 @@
 use basilbank_config::{Document, Settings, TextKind, check_catalogue};
 use proptest::{prelude::*, test_runner::RngSeed};
 
-const SOUND: &str = include_str!("../examples/kitafuji.jsonc");
+const VALID_CATALOGUE: &str = include_str!("../examples/kitafuji.jsonc");
 
 /// Pieces that break texts in many ways.
-const PIECES: [&str; 16] = [
+const FRAGMENTS: [&str; 16] = [
     "",
     "{",
     "}",
@@ -30,21 +30,21 @@
 }
 
 /// Replaces some stretches of a sound text.
-fn damaged() -> impl Strategy<Value = String> {
-    let cut = (0..SOUND.len(), 0..40_usize, 0..PIECES.len());
-    proptest::collection::vec(cut, 1..6).prop_map(|cuts| {
-        let mut text = SOUND.to_owned();
-        for (at, len, piece) in cuts {
+fn damaged_text() -> impl Strategy<Value = String> {
+    let edit = (0..VALID_CATALOGUE.len(), 0..40_usize, 0..FRAGMENTS.len());
+    proptest::collection::vec(edit, 1..6).prop_map(|edits| {
+        let mut text = VALID_CATALOGUE.to_owned();
+        for (at, len, fragment) in edits {
             let start = text.floor_char_boundary(at);
             let end = text.floor_char_boundary(start + len);
-            text.replace_range(start..end, PIECES[piece]);
+            text.replace_range(start..end, FRAGMENTS[fragment]);
         }
         text
     })
 }
 
 /// The same cases on every run.
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 256,
         failure_persistence: None,
@@ -54,14 +54,14 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     /// Symptom: every daemon dies as soon as one document is published. Sequence: an operator
     /// publishes a damaged text. Cause: the check panics instead of reporting.
     #[test]
-    fn damaged_texts_are_judged(text in damaged()) {
-        let all = [document("a", &text), document("b", "{ \"teams\": [{ \"name\": \"x\" }] }")];
-        let checked = check_catalogue(1, &all);
+    fn damaged_catalogue_is_checked_without_panic(text in damaged_text()) {
+        let documents = [document("a", &text), document("b", "{ \"teams\": [{ \"name\": \"x\" }] }")];
+        let checked = check_catalogue(1, &documents);
         prop_assert_eq!(checked.catalogue.is_some(), checked.findings.error_count() == 0);
         for finding in &checked.findings.items {
             let line = finding.file.eq("a").then(|| text.split('\n').nth(finding.line - 1));
@@ -73,7 +73,7 @@
 
     /// The same for texts that are nothing at all.
     #[test]
-    fn any_texts_are_judged(text in ".{0,200}") {
+    fn arbitrary_text_is_checked_without_panic(text in ".{0,200}") {
         let errors = check_catalogue(1, &[document("a", &text)]).findings.error_count();
         prop_assert!(TextKind::detect(&text) == TextKind::Catalogue || 0 < errors);
         prop_assert!(Settings::parse("s", &text).is_err());
--- a/crates/basilbank_config/tests/operators_page.rs
+++ b/crates/basilbank_config/tests/operators_page.rs
@@ -1,14 +1,14 @@
 //! The operators' page: its examples are sound, and its tables are the ones that the reader goes by.
 
 use basilbank_config::{
-    CATALOGUE, Document, SETTINGS, Section, Settings, TextKind, check_catalogue,
+    CATALOGUE, Document, ObjectSchema, SETTINGS, Settings, TextKind, check_catalogue,
 };
 use test_case::test_case;
 
 const PAGE: &str = include_str!("../../../docs/OPERATORS.md");
 
 /// The fenced blocks of JSON with comments.
-fn blocks() -> Vec<&'static str> {
+fn jsonc_blocks() -> Vec<&'static str> {
     let parts = PAGE.split("```jsonc\n").skip(1);
     parts.map(|part| part.split("```").next().unwrap()).collect()
 }
@@ -25,8 +25,8 @@
 
 /// The first block is a whole catalogue, the others are documents beside it, or settings.
 #[test]
-fn examples_are_sound() {
-    let blocks = blocks();
+fn examples_have_no_errors() {
+    let blocks = jsonc_blocks();
     assert!(3 < blocks.len());
     assert_eq!(findings(&blocks[..1]), "");
     for block in &blocks[1..] {
@@ -42,9 +42,9 @@
 
 #[test_case(&CATALOGUE; "catalogue")]
 #[test_case(&SETTINGS; "settings")]
-fn tables_are_the_readers(section: &'static Section) {
-    for (path, section) in section.walk() {
-        let table = section.table();
+fn tables_match_the_schema(schema: &'static ObjectSchema) {
+    for (path, schema) in schema.with_nested() {
+        let table = schema.markdown_table();
         assert!(PAGE.contains(&table), "{path}: run the example `reference`\n{table}");
     }
 }
--- a/crates/basilbank_config/tests/settings_findings.rs
+++ b/crates/basilbank_config/tests/settings_findings.rs
@@ -2,12 +2,14 @@
 
 use std::time::Duration;
 
-use basilbank_config::{ApiLimits, Kind, LogSettings, Need, SETTINGS, Section, Settings};
+use basilbank_config::{
+    ApiLimits, FieldType, LogSettings, ObjectSchema, Presence, SETTINGS, Settings,
+};
 use basilbank_core::tuning::Tuning;
 use test_case::test_case;
 
 /// A settings text with more fields at its end.
-fn with(more: &str) -> String {
+fn settings_text_with(more: &str) -> String {
     format!(
         r#"{{
   "name": "entry-1", "data_centre": "hall-a",
@@ -20,8 +22,8 @@
 }
 
 #[test]
-fn what_is_left_out_has_defaults() {
-    let settings = Settings::parse("s", &with("")).unwrap();
+fn omitted_fields_have_defaults() {
+    let settings = Settings::parse("s", &settings_text_with("")).unwrap();
     assert_eq!(settings.name, "entry-1");
     assert_eq!(settings.platform, "http://10.0.0.9:2379");
     assert_eq!(settings.callers.port(), 8080);
@@ -31,10 +33,10 @@
 }
 
 #[test]
-fn values_are_taken() {
+fn given_values_are_used() {
     let more = r#""limits": { "body_timeout_ms": 2500 }, "log": { "level": "debug", "file": "x.log" },
         "tuning": { "dead_after_ms": 3000, "retry_ratio": 0.1 }"#;
-    let settings = Settings::parse("s", &with(more)).unwrap();
+    let settings = Settings::parse("s", &settings_text_with(more)).unwrap();
     assert_eq!(settings.limits.body_timeout, Duration::from_millis(2500));
     assert_eq!(settings.log, LogSettings { level: "debug".into(), file: Some("x.log".into()) });
     assert_eq!(settings.tuning.dead_after, Duration::from_secs(3));
@@ -44,35 +46,37 @@
 /// Symptom: the reference says another default than the daemon has. Cause: the table and the code
 /// each state it. Here the table's defaults are written out and read back.
 #[test]
-fn the_tables_defaults_are_the_codes() {
-    let written = |section: &Section| {
-        let fields = section.fields.iter().filter(|f| f.name != "file");
-        let field = |f: &basilbank_config::Field| match f.need {
-            Need::Optional(default) => format!("\"{}\": {default}", f.name),
-            Need::Required => panic!("{} has no default", f.name),
+fn schema_defaults_match_the_code() {
+    let schema_defaults = |schema: &ObjectSchema| {
+        let fields = schema.fields.iter().filter(|f| f.name != "file");
+        let field = |f: &basilbank_config::Field| match f.presence {
+            Presence::Optional(default) => format!("\"{}\": {default}", f.name),
+            Presence::Required => panic!("{} has no default", f.name),
         };
         fields.map(field).collect::<Vec<_>>().join(", ")
     };
-    let objects = SETTINGS.fields.iter().filter_map(|f| match f.kind {
-        Kind::Object(section) => Some(format!("\"{}\": {{ {} }}", f.name, written(section))),
+    let objects = SETTINGS.fields.iter().filter_map(|f| match f.field_type {
+        FieldType::Object(schema) => {
+            Some(format!("\"{}\": {{ {} }}", f.name, schema_defaults(schema)))
+        }
         _ => None,
     });
-    let text = with(&objects.collect::<Vec<_>>().join(",\n"));
-    let plain = Settings::parse("s", &with("")).unwrap();
-    assert_eq!(Settings::parse("s", &text).unwrap(), plain);
+    let text = settings_text_with(&objects.collect::<Vec<_>>().join(",\n"));
+    let defaults = Settings::parse("s", &settings_text_with("")).unwrap();
+    assert_eq!(Settings::parse("s", &text).unwrap(), defaults);
 }
 
 /// Symptom: a constant can't be set. Sequence: the decisions gain one, the settings don't. Cause:
 /// each is named in both.
 #[test]
-fn every_constant_can_be_set() {
+fn every_tuning_constant_is_a_setting() {
     let tuning = SETTINGS.field("tuning").unwrap();
-    let Kind::Object(section) = tuning.kind else { panic!("tuning is an object") };
-    let shown = format!("{:?}", Tuning::default());
-    let inner = shown.trim_start_matches("Tuning { ").trim_end_matches(" }");
-    for constant in inner.split(", ").filter_map(|pair| pair.split(':').next()) {
+    let FieldType::Object(schema) = tuning.field_type else { panic!("tuning is an object") };
+    let debug_text = format!("{:?}", Tuning::default());
+    let pairs = debug_text.trim_start_matches("Tuning { ").trim_end_matches(" }");
+    for constant in pairs.split(", ").filter_map(|pair| pair.split(':').next()) {
         let millis = format!("{constant}_ms");
-        let known = section.field(constant).or(section.field(&millis));
+        let known = schema.field(constant).or(schema.field(&millis));
         assert!(known.is_some(), "{constant} can't be set");
     }
 }
@@ -84,11 +88,11 @@
 #[test_case("\"tuning\": { \"heartbeat_ms\": 2000 }", "6:13", "less than three heartbeats; write at least 6000"; "dead too soon")]
 #[test_case("\"tuning\": { \"backoff_ms\": 50, \"max_backoff_ms\": 20 }", "6:51", "less than \"backoff_ms\"; write at least 50"; "backoff")]
 #[test_case("\"tuning\": 3", "6:13", "\"tuning\" is a number"; "not an object")]
-fn a_finding(more: &str, place: &str, part: &str) {
-    let findings = Settings::parse("s", &with(more)).unwrap_err().to_string();
+fn error_is_reported(more: &str, position: &str, expected: &str) {
+    let findings = Settings::parse("s", &settings_text_with(more)).unwrap_err().to_string();
     assert_eq!(findings.lines().count(), 1, "{findings}");
-    assert!(findings.starts_with(&format!("s:{place}: error: ")), "{findings}");
-    assert!(findings.contains(part), "{findings}");
+    assert!(findings.starts_with(&format!("s:{position}: error: ")), "{findings}");
+    assert!(findings.contains(expected), "{findings}");
 }
 
 #[test_case("10.0.0.1:9090", "10.0.0.1:8080", "\"admin\" has the address of \"callers\""; "address twice")]
@@ -97,16 +101,16 @@
 #[test_case("http://10.0.0.9:2379/", "http://10.0.0.9:2379/x", "not a base URL"; "path")]
 #[test_case("fedcba9876543210", "short", "\"admin_key\" can't be this; write a text of at least 16"; "short key")]
 #[test_case("fedcba9876543210", "0123456789abcdef", "\"admin_key\" is the same as \"peer_key\""; "one key for two")]
-fn a_wrong_value(right: &str, wrong: &str, part: &str) {
-    let text = with("").replace(right, wrong);
+fn invalid_value_is_reported(valid: &str, invalid: &str, expected: &str) {
+    let text = settings_text_with("").replace(valid, invalid);
     let findings = Settings::parse("s", &text).unwrap_err().to_string();
-    assert!(findings.contains(part), "{findings}");
+    assert!(findings.contains(expected), "{findings}");
     assert!(!findings.contains("0123456789abcdef") && !findings.contains("short"), "{findings}");
 }
 
 #[test]
-fn an_empty_object_lacks_all_that_is_required() {
+fn empty_object_reports_every_required_field() {
     let findings = Settings::parse("s", "{}").unwrap_err();
-    let required = SETTINGS.fields.iter().filter(|f| f.need == Need::Required).count();
+    let required = SETTINGS.fields.iter().filter(|f| f.presence == Presence::Required).count();
     assert_eq!(findings.len(), required);
 }
