--- a/crates/basilbank_core/src/naive/job.rs
+++ b/crates/basilbank_core/src/naive/job.rs
@@ -23,7 +23,7 @@
     pub target: EntryTarget,
     /// The completion call; `None` for a plain call.
     pub completion: Option<Completion>,
-    /// When it was accepted.
+    /// When this daemon accepted it.
     pub accepted_at: Duration,
     /// Number of attempts so far.
     pub attempts: u32,
--- a/crates/basilbank_core/src/state/documents/fetch.rs
+++ b/crates/basilbank_core/src/state/documents/fetch.rs
@@ -9,7 +9,7 @@
 /// A revision and a peer that has it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct AdvertisedRevision {
-    /// The revision.
+    /// The advertised revision.
     pub revision: u64,
     /// The peer that advertised it last.
     pub from: VmId,
--- a/crates/basilbank_core/src/state/limits/shared.rs
+++ b/crates/basilbank_core/src/state/limits/shared.rs
@@ -24,7 +24,7 @@
 /// One daemon's use of an entry.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Holder {
-    /// The daemon.
+    /// The daemon that uses the entry.
     pub vm: VmId,
     /// Its demand.
     pub demand: LimitDemand,
--- a/crates/basilbank_core/src/state/orders.rs
+++ b/crates/basilbank_core/src/state/orders.rs
@@ -14,9 +14,9 @@
 /// A model's version in the catalogue, and when it changed.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct ModelChange {
-    /// The version.
+    /// Version of the model.
     pub version: String,
-    /// The adapter.
+    /// Adapter of the model; empty for none.
     pub adapter: String,
     /// When this daemon learned of the change.
     pub seen_at: Duration,
--- a/crates/basilbank_core/src/state/orders/serving.rs
+++ b/crates/basilbank_core/src/state/orders/serving.rs
@@ -39,7 +39,7 @@
     pub version: String,
     /// The adapter; empty for none.
     pub adapter: String,
-    /// The role.
+    /// Role of the endpoint.
     pub role: Role,
 }
 
--- a/crates/basilbank_core/src/state/requests.rs
+++ b/crates/basilbank_core/src/state/requests.rs
@@ -29,7 +29,7 @@
     pub idempotency_key: Option<String>,
     /// Whether it reads the stream of the first request with the same idempotency key.
     pub joined: bool,
-    /// When it was accepted.
+    /// When this daemon accepted it.
     pub accepted_at: Duration,
     /// When the first token, or the answer of a plain call, is due according to the target of its
     /// class.
--- a/crates/basilbank_core/src/state/slots.rs
+++ b/crates/basilbank_core/src/state/slots.rs
@@ -17,11 +17,11 @@
 /// Identifies one slot that is held or waited for; the same on all daemons.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct SlotKey {
-    /// The endpoint.
+    /// The endpoint that has the slot.
     pub endpoint: EndpointId,
-    /// The request.
+    /// The request that needs the slot.
     pub request: RequestId,
-    /// The number of the attempt.
+    /// Number of the request's attempt.
     pub attempt: u32,
 }
 
--- a/crates/basilbank_wire/src/message.rs
+++ b/crates/basilbank_wire/src/message.rs
@@ -19,7 +19,7 @@
 /// One datagram or frame: its sender, the sender's incarnation, and messages.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Packet {
-    /// The sending VM.
+    /// Id of the sending VM.
     #[prost(fixed64, tag = "1")]
     pub from: u64,
     /// The sender's incarnation: the start of its process, in milliseconds since the Unix epoch.
@@ -28,7 +28,7 @@
     /// Rises with each packet of one incarnation; a receiver drops packets that it has seen.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The VM that the packet is sent to; a packet that is replayed to another VM is dropped.
+    /// Id of the VM that the packet is sent to; a packet that is replayed to another VM is dropped.
     #[prost(fixed64, tag = "4")]
     pub to: u64,
     /// The messages, in order.
@@ -36,7 +36,7 @@
     pub messages: Vec<Message>,
 }
 
-/// One message.
+/// One message of a packet.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Message {
     /// Content of the message; `None` if a newer peer sent a kind of message that is unknown here.
--- a/crates/basilbank_wire/src/message/claims.rs
+++ b/crates/basilbank_wire/src/message/claims.rs
@@ -6,7 +6,7 @@
     /// Hash of team and idempotency key, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The request that is to run under the key.
+    /// Id of the request that is to run under the key.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
     /// Time that the key carries, in milliseconds since the Unix epoch; 0 when it carries none.
@@ -18,8 +18,8 @@
     /// Whether the request may be run more than once.
     #[prost(bool, tag = "5")]
     pub repeatable: bool,
-    /// The request that has the key and whose daemon is gone, if this request is to take the key
-    /// over; 0 for none.
+    /// Id of the request that has the key and whose daemon is gone, if this request is to take the
+    /// key over; 0 for none.
     #[prost(fixed64, tag = "6")]
     pub after: u64,
 }
@@ -43,10 +43,10 @@
 /// A vote on a claim.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Vote {
-    /// The key.
+    /// Hash of the key, as in `Claim`.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// The request that claimed the key.
+    /// Id of the request that claimed the key.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
     /// The vote.
@@ -60,13 +60,13 @@
 /// The record of a key's request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyRecord {
-    /// The request that has the key.
+    /// Id of the request that has the key.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// The VM that accepted the request.
+    /// Id of the VM that accepted the request.
     #[prost(fixed64, tag = "2")]
     pub vm: u64,
-    /// The endpoint that has its stream; 0 if there is none.
+    /// Id of the endpoint that has its stream; 0 if there is none.
     #[prost(fixed64, tag = "3")]
     pub endpoint: u64,
     /// The stream's name at that endpoint; empty if there is none.
@@ -86,7 +86,7 @@
 /// Informs the voters about a key's request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Settle {
-    /// The key.
+    /// Hash of the key, as in `Claim`.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
     /// The current record.
--- a/crates/basilbank_wire/src/message/limits.rs
+++ b/crates/basilbank_wire/src/message/limits.rs
@@ -3,7 +3,7 @@
 /// Asks for a lease of an entry's limit, and reports what was taken without one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AskLimit {
-    /// The catalogue entry.
+    /// Id of the catalogue entry.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
     /// Requests a second that the sender's callers want, in thousandths; 0 if no lease is wanted.
@@ -57,7 +57,7 @@
 /// A lease of an entry's limit, or the refusal of what was taken without one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LimitLease {
-    /// The catalogue entry.
+    /// Id of the catalogue entry.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
     /// Requests a second that are leased, in thousandths.
--- a/crates/basilbank_wire/src/message/member.rs
+++ b/crates/basilbank_wire/src/message/member.rs
@@ -42,7 +42,7 @@
 /// What one daemon knows of another one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MemberRecord {
-    /// The VM.
+    /// Id of the VM.
     #[prost(fixed64, tag = "1")]
     pub vm: u64,
     /// Its incarnation.
@@ -54,7 +54,7 @@
     /// Whether it is shutting down.
     #[prost(bool, tag = "4")]
     pub leaving: bool,
-    /// Milliseconds since that heartbeat.
+    /// Milliseconds since the heartbeat with this counter.
     #[prost(uint32, tag = "5")]
     pub age: u32,
 }
--- a/crates/basilbank_wire/src/message/slots.rs
+++ b/crates/basilbank_wire/src/message/slots.rs
@@ -3,16 +3,16 @@
 /// Asks an endpoint's owner for a slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Reserve {
-    /// The endpoint.
+    /// Id of the endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
-    /// The request.
+    /// Id of the request.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
     /// Number of the request's attempt, from 0.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// The catalogue entry whose share of the slots it uses.
+    /// Id of the catalogue entry whose share of the slots it uses.
     #[prost(fixed64, tag = "4")]
     pub entry: u64,
     /// Number of tokens that are expected to be held or prefilled.
@@ -50,13 +50,13 @@
 /// A granted slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Grant {
-    /// The endpoint.
+    /// Id of the endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
-    /// The request.
+    /// Id of the request.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// The attempt.
+    /// Number of the request's attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
     /// Duration of the lease; `Holds` renews it.
@@ -92,13 +92,13 @@
 /// A denied slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Deny {
-    /// The endpoint.
+    /// Id of the endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
-    /// The request.
+    /// Id of the request.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// The attempt.
+    /// Number of the request's attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
     /// The reason.
@@ -112,16 +112,16 @@
 /// Returns a slot, or withdraws the request for one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Release {
-    /// The endpoint.
+    /// Id of the endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
-    /// The request.
+    /// Id of the request.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// The attempt.
+    /// Number of the request's attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// The other endpoint of a transfer that made no progress; 0 if no transfer stalled.
+    /// Id of the other endpoint of a transfer that made no progress; 0 if no transfer stalled.
     #[prost(fixed64, tag = "4")]
     pub stalled: u64,
     /// Whether the endpoint refused the work as full although the slot was granted.
@@ -132,7 +132,7 @@
 /// Asks, as the new owner of an endpoint, for the slots that the receiver holds there.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AskHolds {
-    /// The endpoint.
+    /// Id of the endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
 }
@@ -140,7 +140,7 @@
 /// All slots that one daemon holds at one endpoint.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Holds {
-    /// The endpoint.
+    /// Id of the endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
     /// The held slots.
@@ -151,13 +151,13 @@
 /// One held slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hold {
-    /// The request.
+    /// Id of the request.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// The attempt.
+    /// Number of the request's attempt.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// The catalogue entry.
+    /// Id of the catalogue entry.
     #[prost(fixed64, tag = "3")]
     pub entry: u64,
     /// Number of tokens that are expected to be held.
@@ -168,13 +168,13 @@
 /// Takes a slot back from its holder.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Preempt {
-    /// The endpoint.
+    /// Id of the endpoint.
     #[prost(fixed64, tag = "1")]
     pub endpoint: u64,
-    /// The request.
+    /// Id of the request.
     #[prost(fixed64, tag = "2")]
     pub request: u64,
-    /// The attempt.
+    /// Number of the request's attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
 }
