--- a/crates/basilbank_soak/src/main.rs
+++ b/crates/basilbank_soak/src/main.rs
@@ -74,7 +74,7 @@
     refuse_rest(arguments)?;
     let log = basilbank::logs::start_to("info", Box::new(std::io::stdout()))?;
     let clock = Box::new(SteppedClock::new(path.with_extension("clock")));
-    let ended = daemon::run_by(&path, None, clock);
+    let ended = daemon::run_with_clock(&path, None, clock);
     log.flush();
     ended
 }
--- a/crates/basilbankd/src/arguments.rs
+++ b/crates/basilbankd/src/arguments.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use anyhow::{Context, bail};
-use basilbank_platform::settings::PATH_VARIABLE;
+use basilbank_platform::settings::SETTINGS_PATH_VARIABLE;
 
 /// What `--help` prints.
 pub const USAGE: &str = "\
@@ -89,9 +89,10 @@
             bail!("unknown argument {}", rest.to_string_lossy());
         }
         if platform {
-            let settings = settings
-                .or_else(basilbank_platform::daemon::settings_path)
-                .with_context(|| format!("--settings FILE or {PATH_VARIABLE} is needed"))?;
+            let settings =
+                settings.or_else(basilbank_platform::daemon::settings_path).with_context(|| {
+                    format!("--settings FILE or {SETTINGS_PATH_VARIABLE} is needed")
+                })?;
             let level = level.unwrap_or_else(|| "info".to_owned());
             return Ok(Command::Platform(PlatformArguments { settings, check, level, metrics }));
         }
