--- a/crates/basilbank_forward/src/reduce.rs
+++ b/crates/basilbank_forward/src/reduce.rs
@@ -98,22 +98,22 @@
 /// Adds a call's usage to an endpoint, and schedules a gossip datagram if the call takes memory
 /// there. Plain calls don't trigger a datagram: they end before a peer could react, and heartbeats
 /// report them.
-fn add_usage(state: &mut State, endpoint: EndpointKey, share: Usage) {
-    state.directory.add_usage(endpoint, share);
-    state.peers.changed |= share.tokens != 0;
+fn add_usage(state: &mut State, endpoint: EndpointKey, usage: Usage) {
+    state.directory.add_usage(endpoint, usage);
+    state.peers.changed |= usage.tokens != 0;
 }
 
 /// Reverts [`add_usage`].
-fn remove_usage(state: &mut State, endpoint: EndpointKey, share: Usage) {
-    state.directory.remove_usage(endpoint, share);
-    state.peers.changed |= share.tokens != 0;
+fn remove_usage(state: &mut State, endpoint: EndpointKey, usage: Usage) {
+    state.directory.remove_usage(endpoint, usage);
+    state.peers.changed |= usage.tokens != 0;
 }
 
 /// Removes the usage of a hold that has ended, unless the call that took the hold is counted
 /// instead.
 fn remove_hold_usage(state: &mut State, hold: &Hold) {
-    if let Some(share) = hold.usage {
-        remove_usage(state, hold.endpoint, share);
+    if let Some(usage) = hold.usage {
+        remove_usage(state, hold.endpoint, usage);
     }
 }
 
--- a/crates/basilbank_forward/src/reduce/completion.rs
+++ b/crates/basilbank_forward/src/reduce/completion.rs
@@ -57,7 +57,7 @@
     }
     let (service, tried, due) = (request.service.clone(), recently_asked(request), request.due());
     let prompt = request.call.prompt.clone().unwrap_or_default();
-    let share = Usage::completion(prompt.tokens, prompt.expected_output());
+    let usage = Usage::completion(prompt.tokens, prompt.expected_output());
     let memory_fraction = match request.is_on_time(now + state.tuning.first_token_delay) {
         true => state.tuning.memory_fraction,
         false => state.tuning.late_memory_fraction,
@@ -70,7 +70,7 @@
     };
     let hold_ttl = state.routes.engine(&service).map_or(Duration::ZERO, |e| e.max_hold);
     let peers_ahead = state.peers_ahead(&service, due, now);
-    let criteria = Criteria { near, share, memory_fraction, session: prompt.session };
+    let criteria = Criteria { near, usage, memory_fraction, session: prompt.session };
     let endpoint = match placement::pick_decode(state, &service, &tried, &criteria, now) {
         DecodeChoice::At(endpoint) => endpoint,
         DecodeChoice::Full => {
@@ -91,7 +91,7 @@
         endpoint,
         op,
         step: Step::Hold,
-        share,
+        usage,
         timeout,
         counted: false,
         retry: None,
@@ -141,12 +141,12 @@
         return request_stream(state, id, hold, now);
     };
     let timeout = state.tuning.prefill_timeout + prefill_time(state, endpoint, tokens) * 2;
-    let (step, share) = (Step::Prefill, Usage::prefill(tokens));
+    let (step, usage) = (Step::Prefill, Usage::prefill(tokens));
     NextStep::Dispatch(Dispatch {
         endpoint,
         op: Op::Prefill,
         step,
-        share,
+        usage,
         timeout,
         counted: false,
         retry,
@@ -197,12 +197,12 @@
     };
     let op = Op::Stream { hold: Some(hold.name.clone()) };
     let retry = request.is_repeat().then_some(Retry::NotRun);
-    let (endpoint, share) = (hold.endpoint, hold.usage.unwrap_or_default());
+    let (endpoint, usage) = (hold.endpoint, hold.usage.unwrap_or_default());
     NextStep::Dispatch(Dispatch {
         endpoint,
         op,
         step: Step::Decode,
-        share,
+        usage,
         timeout,
         counted: true,
         retry,
@@ -224,14 +224,14 @@
     let Some(source) = state.directory.get(kv.endpoint).map(|e| e.info.addr) else {
         return request_stream(state, id, &hold, now);
     };
-    let (endpoint, share) = (hold.endpoint, hold.usage.unwrap_or_default());
+    let (endpoint, usage) = (hold.endpoint, hold.usage.unwrap_or_default());
     let op = Op::Decode { source, handle: kv.handle, hold: Some(hold.name) };
     let retry = request.is_repeat().then_some(Retry::Full);
     NextStep::Dispatch(Dispatch {
         endpoint,
         op,
         step: Step::Decode,
-        share,
+        usage,
         timeout,
         counted: true,
         retry,
--- a/crates/basilbank_forward/src/reduce/gossip.rs
+++ b/crates/basilbank_forward/src/reduce/gossip.rs
@@ -80,7 +80,7 @@
         (0, Some(peer)) => peer.version,
         (version, _) => version,
     };
-    let paces = match previous {
+    let generation_stats = match previous {
         Some(peer) if gossip.paces.is_empty() => peer.generation_stats,
         _ => gossip.paces.iter().map(stats_from_wire).collect(),
     };
@@ -94,7 +94,7 @@
         version,
         watching: gossip.watching,
         leaving: gossip.leaving,
-        generation_stats: paces,
+        generation_stats,
     };
     let is_older = ctx.state.started_before(gossip.incarnation);
     let peers = &mut ctx.state.peers;
@@ -129,8 +129,8 @@
     let Some(StoreRevision { era, number }) = reported else { return };
     let revision = Revision { era, number };
     if revision != *ctx.state.missing_revisions.get(topic) {
-        let news = ctx.state.latest_changes.get_mut(topic);
-        *news = revision.max(*news);
+        let latest = ctx.state.latest_changes.get_mut(topic);
+        *latest = revision.max(*latest);
     }
 }
 
@@ -139,10 +139,10 @@
 pub fn handle_missing_revision(ctx: &mut Context<'_>, topic: Topic, revision: Revision) {
     let read = ctx.state.revision(topic);
     *ctx.state.missing_revisions.get_mut(topic) = revision;
-    let news = ctx.state.latest_changes.get_mut(topic);
+    let latest = ctx.state.latest_changes.get_mut(topic);
     // Changes that were reported after the query was sent are kept.
-    if *news == revision {
-        *news = read;
+    if *latest == revision {
+        *latest = read;
     }
     let line = LogLine::new("news_disproved").with("topic", topic.as_str());
     ctx.log(line.with("revision", revision).with("store", read));
@@ -201,26 +201,26 @@
 }
 
 fn stats_from_wire(wire: &ServiceGenerationStats) -> (u32, GenerationStats) {
-    let pace = GenerationStats {
+    let stats = GenerationStats {
         tokens: f64::from(wire.tokens),
         seconds: f64::from(wire.seconds),
         squared_estimates: f64::from(wire.squares),
         squared_errors: f64::from(wire.errors),
     };
-    (wire.service, pace)
+    (wire.service, stats)
 }
 
 fn resolve_loads(ctx: &Context<'_>, gossip: &LoadGossip) -> Vec<Load> {
     let directory = &ctx.state.directory;
     let known = gossip.loads().filter_map(|load| {
         let endpoint = directory.find_by_hash(load.endpoint)?;
-        let share = Usage {
+        let usage = Usage {
             calls: load.calls,
             tokens: load.tokens,
             tokens_left: load.tokens_left,
             generating_since: Some(ctx.now),
         };
-        Some(Load { endpoint, usage: share })
+        Some(Load { endpoint, usage })
     });
     known.collect()
 }
--- a/crates/basilbank_forward/src/reduce/gossip_send.rs
+++ b/crates/basilbank_forward/src/reduce/gossip_send.rs
@@ -195,10 +195,10 @@
     });
     let shunned: Vec<_> = shunned.collect();
     // The peers' statistics are combined once per service, not once per endpoint.
-    let mut paces_by_service = HashMap::new();
-    let pace =
-        |service| *paces_by_service.entry(service).or_insert_with(|| state.growth(service).rate);
-    let loads: Vec<_> = state.directory.own_loads(now, pace).collect();
+    let mut rates_by_service = HashMap::new();
+    let rate =
+        |service| *rates_by_service.entry(service).or_insert_with(|| state.growth(service).rate);
+    let loads: Vec<_> = state.directory.own_loads(now, rate).collect();
     let is_full = scope != Scope::Changes;
     let paces = if is_full { generation_stats(state) } else { Vec::new() };
     let waiting = waiting_completions(state, now);
@@ -357,27 +357,27 @@
 /// Returns the first of this daemon's waiting completions for each service.
 fn waiting_completions(state: &State, now: Duration) -> Vec<WaitingCompletion> {
     let soonest = now + state.tuning.first_token_delay;
-    let mut first_places: HashMap<&str, QueuePosition> = HashMap::new();
+    let mut first_positions: HashMap<&str, QueuePosition> = HashMap::new();
     for request in state.waiting.iter().filter_map(|id| state.requests.get(id)) {
-        let place = request.queue_position(soonest);
-        let first = first_places.entry(&request.service).or_insert(place);
-        *first = place.min(*first);
+        let position = request.queue_position(soonest);
+        let first = first_positions.entry(&request.service).or_insert(position);
+        *first = position.min(*first);
     }
-    let all = first_places.into_iter().map(|(service, place)| WaitingCompletion {
+    let all = first_positions.into_iter().map(|(service, position)| WaitingCompletion {
         service: service_hash(service),
-        due: (place.due.as_millis() as i128 - now.as_millis() as i128) as i32,
+        due: (position.due.as_millis() as i128 - now.as_millis() as i128) as i32,
     });
     all.collect()
 }
 
 /// Returns the generation statistics of this daemon's own completions.
 fn generation_stats(state: &State) -> Vec<ServiceGenerationStats> {
-    let all = state.generation_stats.iter().map(|(service, pace)| ServiceGenerationStats {
+    let all = state.generation_stats.iter().map(|(service, stats)| ServiceGenerationStats {
         service: service_hash(service),
-        tokens: pace.tokens as f32,
-        seconds: pace.seconds as f32,
-        squares: pace.squared_estimates as f32,
-        errors: pace.squared_errors as f32,
+        tokens: stats.tokens as f32,
+        seconds: stats.seconds as f32,
+        squares: stats.squared_estimates as f32,
+        errors: stats.squared_errors as f32,
     });
     all.collect()
 }
--- a/crates/basilbank_forward/src/reduce/next_step.rs
+++ b/crates/basilbank_forward/src/reduce/next_step.rs
@@ -38,7 +38,7 @@
     /// The step of the request that the attempt belongs to.
     pub step: Step,
     /// The usage to count at the endpoint.
-    pub share: Usage,
+    pub usage: Usage,
     /// Time to wait for an answer.
     pub timeout: Duration,
     /// Whether it counts against the route's attempts.
--- a/crates/basilbank_forward/src/reduce/placement.rs
+++ b/crates/basilbank_forward/src/reduce/placement.rs
@@ -74,7 +74,7 @@
     /// The endpoint that keeps its KV cache or will likely read its prompt.
     pub near: Option<EndpointKey>,
     /// The usage that it adds to the endpoint.
-    pub share: Usage,
+    pub usage: Usage,
     /// Fraction of an endpoint's memory that is given to completions like this one.
     pub memory_fraction: f64,
     /// The session that it belongs to.
@@ -103,7 +103,7 @@
         .inspect(|_| has_endpoints = true);
     // An idle endpoint accepts any completion, however large.
     let permitted = endpoints.filter(|(key, _)| state.has_permit(*key, now));
-    let peaks = permitted.map(|(key, e)| (key, e, e.peak_tokens(criteria.share, now, growth)));
+    let peaks = permitted.map(|(key, e)| (key, e, e.peak_tokens(criteria.usage, now, growth)));
     let fitting = peaks.filter(|(_, e, peak)| e.total_calls() == 0 || *peak <= max_tokens);
     let candidates = fitting.map(|(key, endpoint, peak)| {
         let used = peak / memory;
--- a/crates/basilbank_forward/src/reduce/plain.rs
+++ b/crates/basilbank_forward/src/reduce/plain.rs
@@ -48,13 +48,13 @@
         PlainChoice::None if waits => return NextStep::GiveUp(Refusal::NoEndpoint),
         PlainChoice::Limited | PlainChoice::None => return NextStep::Wait,
     };
-    let share = Usage::plain();
+    let usage = Usage::plain();
     let op = if streams { Op::Stream { hold: None } } else { Op::Plain };
     NextStep::Dispatch(Dispatch {
         endpoint,
         op,
         step: Step::Whole,
-        share,
+        usage,
         timeout,
         counted: true,
         retry,
--- a/crates/basilbank_forward/src/reduce/step.rs
+++ b/crates/basilbank_forward/src/reduce/step.rs
@@ -166,7 +166,7 @@
     let Some(target) = ctx.state.directory.target(dispatch.endpoint) else { return };
     let endpoint = ctx.state.directory.get(dispatch.endpoint);
     let (calls, tokens) = endpoint.map_or((0, 0), |e| (e.total_calls(), e.total_tokens()));
-    let ahead = tokens.saturating_add(dispatch.share.tokens);
+    let ahead = tokens.saturating_add(dispatch.usage.tokens);
     let list_age = ctx.now.saturating_sub(ctx.state.directory.read_at);
     let Some(request) = ctx.state.requests.get_mut(&id) else { return };
     let number = request.attempt_count;
@@ -176,7 +176,7 @@
     let live = ActiveAttempt {
         number,
         endpoint: dispatch.endpoint,
-        usage: dispatch.share,
+        usage: dispatch.usage,
         queued_tokens: ahead,
         started: ctx.now,
         step: dispatch.step,
@@ -202,7 +202,7 @@
     if dispatch.step != Step::Decode {
         ctx.state.permit_holder.use_permit(dispatch.endpoint);
     }
-    add_usage(ctx.state, dispatch.endpoint, dispatch.share);
+    add_usage(ctx.state, dispatch.endpoint, dispatch.usage);
     if dispatch.step == Step::Decode {
         replace_hold_usage(ctx.state, id);
     }
@@ -216,8 +216,8 @@
 fn replace_hold_usage(state: &mut State, id: RequestId) {
     let hold = state.requests.get_mut(&id).and_then(|request| request.completion.hold.as_mut());
     let counted = hold.and_then(|hold| Some((hold.endpoint, hold.usage.take()?)));
-    if let Some((endpoint, share)) = counted {
-        remove_usage(state, endpoint, share);
+    if let Some((endpoint, usage)) = counted {
+        remove_usage(state, endpoint, usage);
     }
 }
 
