--- a/crates/basilbank_config/src/diff/change.rs
+++ b/crates/basilbank_config/src/diff/change.rs
@@ -108,7 +108,7 @@
         removed: usize,
     },
     /// Entries whose promise changes.
-    TargetsChanged {
+    ServiceLevelChanged {
         /// How many.
         entries: usize,
     },
@@ -136,7 +136,7 @@
             Consequence::KeysChanged { added, removed } => {
                 write!(f, "{added} keys are accepted that weren't, {removed} no longer")
             }
-            Consequence::TargetsChanged { entries } => {
+            Consequence::ServiceLevelChanged { entries } => {
                 write!(f, "changes {entries} entries' promise")
             }
         }
--- a/crates/basilbank_config/src/diff/consequences.rs
+++ b/crates/basilbank_config/src/diff/consequences.rs
@@ -43,7 +43,7 @@
 impl ChangeConsequences for Class {
     fn when_changed(&self, _: &Class, _: &str, lookup: &NameLookup<'_>) -> Option<Consequence> {
         let entries = lookup.new_catalogue.entries.iter().filter(|e| e.class == self.id).count();
-        Some(Consequence::TargetsChanged { entries })
+        Some(Consequence::ServiceLevelChanged { entries })
     }
 }
 
