--- a/crates/basilbank_config/examples/parse_10k.rs
+++ b/crates/basilbank_config/examples/parse_10k.rs
@@ -1,5 +1,5 @@
-//! Parses a catalogue of 10,000 teams, each with an entry, and 840 endpoints, spread over several
-//! documents, and prints one `name=value` line for each figure.
+//! Measures parsing, comparing and rejecting a catalogue of 10,000 teams with one entry each and
+//! 840 endpoints, split into several documents. Prints one `name=value` line for each figure.
 //!
 //! `cargo run --release -p basilbank_config --example parse_10k`
 
@@ -50,7 +50,8 @@
     Ok(())
 }
 
-/// The process's largest memory so far in kilobytes; 0 where the system does not say.
+/// Returns the peak resident memory of the process in kilobytes, or 0 if the system doesn't report
+/// it.
 fn peak_memory_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -61,7 +62,7 @@
     duration.as_secs_f64() * 1000.0
 }
 
-/// The median time of some rounds, and the last round's result.
+/// Returns the median time of `ROUNDS` runs, and the result of the last run.
 fn median_time<T>(mut run: impl FnMut() -> T) -> (Duration, T) {
     let mut times = Vec::new();
     let mut round = || {
@@ -78,7 +79,7 @@
     (times[ROUNDS / 2], result)
 }
 
-/// Each entry names a class that isn't there.
+/// Returns the documents with every entry referring to a class that doesn't exist.
 fn with_unknown_class(documents: &[Document]) -> Vec<Document> {
     let misspell_class =
         |text: &String| text.replace("\"class\": \"draft\"", "\"class\": \"drafd\"");
--- a/crates/basilbank_config/examples/reference.rs
+++ b/crates/basilbank_config/examples/reference.rs
@@ -1,4 +1,4 @@
-//! Prints the tables of fields as they stand in the operators' page.
+//! Prints the tables of fields for `docs/OPERATORS.md`.
 //!
 //! `cargo run -p basilbank_config --example reference`
 
--- a/crates/basilbank_config/src/catalogue.rs
+++ b/crates/basilbank_config/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! Checks the catalogue's documents and compiles them.
+//! Validates the catalogue's documents and compiles them into one [`Catalogue`].
 
 mod cross_checks;
 mod items;
@@ -19,33 +19,34 @@
     syntax,
 };
 
-/// Most bytes of one document; the platform holds no larger values.
+/// Maximum size of one document in bytes. The platform stores no larger values.
 pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
-/// What a check of a catalogue comes to.
+/// Result of checking a catalogue.
 #[derive(Clone, PartialEq, Debug)]
 pub struct CheckedCatalogue {
-    /// The catalogue; `None` when there are errors.
+    /// The compiled catalogue; `None` if there are errors.
     pub catalogue: Option<Catalogue>,
-    /// Errors and warnings.
+    /// All errors and warnings.
     pub findings: Findings,
 }
 
-/// Checks the union of a catalogue's documents and compiles it. A removed document, one without a
-/// text, is left out.
+/// Checks all documents together as one catalogue and compiles it. Documents without a text have
+/// been removed and are skipped.
 ///
-/// The outcome depends on the documents' keys and texts alone, not on their order, the time or the
-/// machine, so that all daemons accept and reject the same. `revision` is only copied.
+/// The result depends only on the keys and texts of the documents, not on their order, the time or
+/// the machine, so that all daemons accept and reject the same revisions. `revision` is copied into
+/// the catalogue unchecked.
 ///
 /// # Errors
 ///
-/// All that is wrong with the texts, at once; warnings too, when there is an error.
+/// Returns all findings if at least one of them is an error, warnings included.
 pub fn parse_catalogue(revision: u64, documents: &[Document]) -> Result<Catalogue, Findings> {
     let CheckedCatalogue { catalogue, findings } = check_catalogue(revision, documents);
     catalogue.ok_or(findings)
 }
 
-/// Like [`parse_catalogue`], with the warnings of a catalogue that is accepted.
+/// Does the same as [`parse_catalogue`], but also returns the warnings of a valid catalogue.
 #[must_use]
 pub fn check_catalogue(revision: u64, documents: &[Document]) -> CheckedCatalogue {
     let mut sources: Vec<_> = documents
@@ -65,8 +66,8 @@
     }
     items.check_names(&mut report);
     if !has_unreadable_document {
-        // What a document that can't be read holds is not known, so what others say of it is not
-        // judged: each reference into it would be a finding of its own.
+        // The contents of a document that can't be parsed are unknown, so these checks are skipped.
+        // They would report every reference into that document as a separate error.
         items.check_references(&mut report);
         cross_checks::check_all(&mut report, &items);
     }
--- a/crates/basilbank_config/src/catalogue/cross_checks.rs
+++ b/crates/basilbank_config/src/catalogue/cross_checks.rs
@@ -1,4 +1,4 @@
-//! Checks that look at several things at once.
+//! Checks that compare several catalogue items with each other.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -10,10 +10,11 @@
 use super::items::ParsedItems;
 use crate::report::{Position, Report};
 
-/// Shares that add up to one in decimal may add up to a little more in binary.
+/// Tolerance for sums of guaranteed shares: shares that add up to one in decimal may add up to
+/// slightly more in binary floating point.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Checks all things against each other.
+/// Runs all cross-checks on the items of all documents.
 pub(super) fn check_all(report: &mut Report<'_>, items: &ParsedItems) {
     check_keys(report, items);
     check_path_prefixes(report, items);
@@ -24,7 +25,8 @@
     check_targets_served(report, items);
 }
 
-/// A key stands for one team: with two, who is charged would depend on the order of the documents.
+/// Reports keys that occur more than once. A key identifies one team: if two teams had the same
+/// key, the order of the documents would decide which one is charged.
 fn check_keys(report: &mut Report<'_>, items: &ParsedItems) {
     let mut seen = HashMap::with_capacity(items.keys.len());
     for key in &items.keys {
@@ -40,6 +42,7 @@
     }
 }
 
+/// Reports services whose path prefix lies within the prefix of another service.
 fn check_path_prefixes(report: &mut Report<'_>, items: &ParsedItems) {
     let mut services: Vec<_> = items.services.iter().collect();
     services.sort_by_key(|s| (&s.value.path_prefix, s.pos));
@@ -59,8 +62,8 @@
     }
 }
 
-/// Slots are counted and streams are listed by endpoint: two names for one server would have its
-/// slots given out twice.
+/// Reports endpoints with the same address. Slots are counted and streams are listed per endpoint,
+/// so the slots of a server with two names would be granted twice.
 fn check_addresses(report: &mut Report<'_>, items: &ParsedItems) {
     let mut seen = HashMap::with_capacity(items.endpoints.len());
     for endpoint in &items.endpoints {
@@ -71,6 +74,7 @@
     }
 }
 
+/// Reports targets whose guaranteed shares (`owed`) add up to more than 1.
 fn check_guaranteed_shares(report: &mut Report<'_>, items: &ParsedItems) {
     let mut share_sums: HashMap<EntryTarget, f64> = HashMap::new();
     for entry in &items.entries {
@@ -91,7 +95,8 @@
     }
 }
 
-/// The time between tokens is part of what a model's entry promises.
+/// Reports classes without a target for the time between tokens that are used by an entry for a
+/// model. That target is part of what such an entry promises.
 fn check_model_entry_classes(report: &mut Report<'_>, items: &ParsedItems) {
     let model_entries =
         items.entries.iter().filter(|e| matches!(e.value.target, EntryTarget::Model(_)));
@@ -105,7 +110,8 @@
     }
 }
 
-/// Callers name a service by its path alone, so a team can have one entry for each.
+/// Reports teams with more than one entry for the same service. Callers select a service by its
+/// path alone, so the entry to use would be ambiguous.
 fn check_service_entries(report: &mut Report<'_>, items: &ParsedItems) {
     let mut seen: HashMap<(TeamId, EntryTarget), (&str, Position)> = HashMap::new();
     for entry in &items.entries {
@@ -121,8 +127,8 @@
     }
 }
 
-/// An entry that nothing serves is refused every call. That may be meant, while endpoints are on
-/// their way, so it is a warning: one for each target.
+/// Warns about each target of an entry that has no endpoint of a required role. All calls of such
+/// an entry are refused. This is not an error, because the endpoints may be added later.
 fn check_targets_served(report: &mut Report<'_>, items: &ParsedItems) {
     let served: HashSet<(EntryTarget, Role)> =
         items.endpoints.iter().map(|e| (e.value.serves, e.value.role)).collect();
--- a/crates/basilbank_config/src/catalogue/items.rs
+++ b/crates/basilbank_config/src/catalogue/items.rs
@@ -1,4 +1,4 @@
-//! What the documents hold, with places, before it is known to be a catalogue.
+//! Items parsed from the documents, with their positions, before cross-checks.
 
 use basilbank_core::catalogue::{
     Class, Endpoint, Entry, EntryTarget, KeyHash, ModelSpec, Service, Team,
@@ -9,34 +9,35 @@
     report::{Position, Report},
 };
 
-/// A thing and the place that findings about it point at.
+/// A value and the position that findings about it refer to.
 #[derive(Clone, Debug)]
 pub(super) struct Located<T> {
-    /// The thing.
+    /// The parsed value.
     pub value: T,
-    /// Where.
+    /// Position in the documents.
     pub pos: Position,
 }
 
-/// A team's key.
+/// A bearer key of a team.
 #[derive(Clone, Debug)]
 pub(super) struct TeamKey {
-    /// Its hash.
+    /// SHA-256 hash of the key.
     pub hash: KeyHash,
-    /// The team's name.
+    /// Name of the team that the key belongs to.
     pub team: String,
 }
 
-/// The names of one kind, and what refers to them.
+/// All names of one kind of item, and all references to items of that kind.
 #[derive(Debug)]
 pub(super) struct NameScope {
-    /// Names given.
+    /// Defined names.
     pub names: NameTable,
-    /// References made.
+    /// References, which may be to undefined names.
     pub references: Vec<Name>,
 }
 
-/// All parts read so far. A thing with a finding is left out, but its name is known.
+/// Items of all documents parsed so far. An item with an error is omitted, but its name is kept so
+/// that references to it resolve.
 #[derive(Debug)]
 pub(super) struct ParsedItems {
     /// Teams.
@@ -45,29 +46,30 @@
     pub classes: Vec<Located<Class>>,
     /// Models.
     pub models: Vec<Located<ModelSpec>>,
-    /// Services, each at its prefix.
+    /// Services; the position is that of the path prefix.
     pub services: Vec<Located<Service>>,
-    /// Entries, each at its owed share, or its start when there is none.
+    /// Entries; the position is that of the guaranteed share (`owed`), or the start of the entry if
+    /// it has none.
     pub entries: Vec<Located<Entry>>,
-    /// Endpoints, each at its address.
+    /// Endpoints; the position is that of the address.
     pub endpoints: Vec<Located<Endpoint>>,
-    /// The weight store's rate.
+    /// Rate of the weight store in bytes per second.
     pub weight_rate: Option<Located<u64>>,
-    /// All teams' keys.
+    /// Keys of all teams.
     pub keys: Vec<Located<TeamKey>>,
-    /// Names of teams.
+    /// Names of teams and references to them.
     pub team_names: NameScope,
-    /// Names of classes.
+    /// Names of classes and references to them.
     pub class_names: NameScope,
-    /// Names of models.
+    /// Names of models and references to them.
     pub model_names: NameScope,
-    /// Names of services.
+    /// Names of services and references to them.
     pub service_names: NameScope,
     /// Names of entries.
     pub entry_names: NameTable,
     /// Names of endpoints.
     pub endpoint_names: NameTable,
-    /// Names of data centres.
+    /// Names of data centres, one for each endpoint that uses it.
     pub data_centres: NameTable,
 }
 
@@ -95,7 +97,8 @@
 }
 
 impl ParsedItems {
-    /// Reports names that clash, and makes references resolvable.
+    /// Reports duplicate names and hash collisions, and sorts the names. Must be called before
+    /// `check_references` and `target_name`.
     pub fn check_names(&mut self, report: &mut Report<'_>) {
         self.team_names.names.sort_and_check_unique(report);
         self.class_names.names.sort_and_check_unique(report);
@@ -106,7 +109,7 @@
         self.data_centres.sort_and_check_shared(report);
     }
 
-    /// Reports references to what is not there.
+    /// Reports references to undefined names.
     pub fn check_references(&self, report: &mut Report<'_>) {
         let scopes = [&self.team_names, &self.class_names, &self.model_names, &self.service_names];
         for NameScope { names, references } in scopes {
@@ -114,7 +117,7 @@
         }
     }
 
-    /// A target's kind and name, for messages.
+    /// Returns the kind and name of a target, for messages.
     pub fn target_name(&self, target: EntryTarget) -> String {
         let (noun, name) = match target {
             EntryTarget::Model(id) => ("model", self.model_names.names.name_of(id.0)),
--- a/crates/basilbank_config/src/catalogue/read.rs
+++ b/crates/basilbank_config/src/catalogue/read.rs
@@ -1,4 +1,4 @@
-//! Reads one document's parts.
+//! Reads the items of one document.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
     fields::Fields, key::parse_key_hash, names::Name, report::Report, schema::ObjectSchema,
 };
 
-/// Blocks of the prefix cache have this many tokens where a model does not say.
+/// Tokens per block of the prefix cache, for models that don't set it.
 const DEFAULT_BLOCK_TOKENS: u32 = 16;
 
-/// Methods whose calls may be repeated where a service does not say.
+/// Methods whose calls may be repeated, for services that don't set them.
 const DEFAULT_REPEATABLE_METHODS: [&str; 2] = ["GET", "HEAD"];
 
-/// Paths that are the router's own.
+/// Path prefix of the router's own API, which services can't use.
 const ROUTER_PATH_PREFIX: &str = "/v1/";
 
-/// Reads all that a document holds.
+/// Reads all items of a document and adds them to `items`.
 pub(super) fn read_document(
     report: &mut Report<'_>,
     items: &mut ParsedItems,
@@ -38,8 +38,8 @@
     let mut read_list = |list: &str, schema: &'static ObjectSchema, read: ReadItem| {
         for object in root_fields.object_list(list) {
             let fields = Fields::new(report, file, schema, object);
-            // A thing with a finding is left out: nothing is compiled any more, and checks across
-            // things would report follow-ups of what is already reported.
+            // An item with an error is skipped. The error already prevents compilation, and the
+            // cross-checks would only report its consequences again.
             let _ = read(report, items, &fields);
         }
     };
@@ -52,6 +52,8 @@
     read_weight_store(report, items, &root_fields);
 }
 
+/// Reads one item and adds it to the parsed items. Returns `None` if a field that it needs is
+/// missing or invalid.
 type ReadItem = fn(&mut Report<'_>, &mut ParsedItems, &Fields<'_, '_>) -> Option<()>;
 
 fn read_team(
@@ -77,7 +79,7 @@
     let mut keys = Vec::new();
     for (text, pos) in fields.text_list("keys").unwrap_or_default() {
         let Some(hash) = parse_key_hash(text) else {
-            // The text may be a key that was put here by mistake, so it isn't repeated.
+            // The text may be a plain key that was entered by mistake, so the message omits it.
             let message = "a key's hash is not 64 hex digits";
             report.error(pos, message, "write what `basilbank hash-key` prints for the key");
             continue;
@@ -255,7 +257,7 @@
     Some(())
 }
 
-/// An address that a listener may have, but that nobody can connect to.
+/// Reports an address that a listener can bind to, but that no client can connect to.
 fn check_address(report: &mut Report<'_>, fields: &Fields<'_, '_>) {
     let Some(address) = fields.address("address") else { return };
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
@@ -273,6 +275,7 @@
     }
 }
 
+/// Checks that the role fits the target and the other fields of the endpoint.
 fn check_role(report: &mut Report<'_>, fields: &Fields<'_, '_>, role: Role, serves: EntryTarget) {
     let pos = fields.pos_of("role");
     match (role, serves) {
@@ -329,7 +332,7 @@
     }
 }
 
-/// Notes a reference, and gives the id that it stands for.
+/// Records the name in a field as a reference and returns the id that it stands for.
 fn read_reference(
     scope: &mut NameScope,
     fields: &Fields<'_, '_>,
--- a/crates/basilbank_config/src/catalogue/schema.rs
+++ b/crates/basilbank_config/src/catalogue/schema.rs
@@ -1,14 +1,14 @@
-//! The fields of a catalogue document.
+//! Schema of a catalogue document.
 
 use crate::schema::{Field, FieldType, ObjectSchema};
 
-/// Largest number of bytes, or bytes a second, that a catalogue may name.
+/// Maximum for sizes in bytes and rates in bytes per second.
 const MAX_BYTES: u64 = 1 << 50;
 
-/// Largest rate in tokens or requests a second.
+/// Maximum for rates in tokens or requests per second.
 const MAX_RATE_PER_S: f64 = 1e9;
 
-/// A catalogue document.
+/// Schema of a catalogue document.
 pub const CATALOGUE: ObjectSchema = ObjectSchema {
     noun: "catalogue",
     fields: &[
@@ -59,7 +59,7 @@
     ],
 };
 
-/// A team.
+/// Schema of a team.
 pub(super) const TEAM: ObjectSchema = ObjectSchema {
     noun: "team",
     fields: &[
@@ -69,7 +69,7 @@
     ],
 };
 
-/// A class of service.
+/// Schema of a class of service.
 pub(super) const CLASS: ObjectSchema = ObjectSchema {
     noun: "class",
     fields: &[
@@ -85,7 +85,7 @@
     ],
 };
 
-/// A model.
+/// Schema of a model.
 pub(super) const MODEL: ObjectSchema = ObjectSchema {
     noun: "model",
     fields: &[
@@ -107,7 +107,7 @@
     ],
 };
 
-/// A plain service.
+/// Schema of a plain service.
 pub(super) const SERVICE: ObjectSchema = ObjectSchema {
     noun: "service",
     fields: &[
@@ -124,7 +124,7 @@
     ],
 };
 
-/// An entry.
+/// Schema of an entry.
 pub(super) const ENTRY: ObjectSchema = ObjectSchema {
     noun: "entry",
     fields: &[
@@ -151,7 +151,7 @@
     ],
 };
 
-/// An entry's limits.
+/// Schema of an entry's limits.
 pub(super) const LIMITS: ObjectSchema = ObjectSchema {
     noun: "limits object",
     fields: &[
@@ -171,7 +171,7 @@
     ],
 };
 
-/// An endpoint.
+/// Schema of an endpoint.
 pub(super) const ENDPOINT: ObjectSchema = ObjectSchema {
     noun: "endpoint",
     fields: &[
@@ -220,14 +220,15 @@
     ],
 };
 
-/// The weight store.
+/// Schema of the weight store.
 pub(super) const WEIGHT_STORE: ObjectSchema = ObjectSchema {
     noun: "weight store",
     fields: &[Field::required("bytes_per_s", FieldType::Integer { min: 1, max: MAX_BYTES }, "2e9")
         .doc("What it gives to all endpoints together.")],
 };
 
-/// A positive number. Zero is left to mean 'not limited' in the compiled catalogue.
+/// Returns the type of a positive number up to `max`. Zero is excluded because it means "not
+/// limited" in the compiled catalogue.
 const fn positive_number(max: f64) -> FieldType {
     FieldType::Number { min: 0.001, max }
 }
--- a/crates/basilbank_config/src/diff.rs
+++ b/crates/basilbank_config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a new catalogue changes, by name and field, and what follows from it.
+//! Compares two catalogues and lists the changes by name and field, with their consequences.
 //!
 //! ```
 //! use basilbank_config::diff;
@@ -24,7 +24,8 @@
     describe::{CatalogueItem, NameLookup},
 };
 
-/// All changes from one catalogue to another, by kind, name and field. Revisions aren't compared.
+/// Returns all changes from one catalogue to another, ordered by kind, name and field. Revisions
+/// aren't compared.
 #[must_use]
 pub fn diff(old: &Catalogue, new: &Catalogue) -> Vec<Change> {
     let lookup = NameLookup::new(old, new);
@@ -39,7 +40,7 @@
     changes
 }
 
-/// Walks two lists that are sorted by name side by side.
+/// Compares two lists of items, which must be sorted by name, and adds the changes.
 fn compare_lists<T: CatalogueItem + ChangeConsequences>(
     lookup: &NameLookup<'_>,
     mut old: &[T],
--- a/crates/basilbank_config/src/diff/change.rs
+++ b/crates/basilbank_config/src/diff/change.rs
@@ -1,8 +1,8 @@
-//! One change and what follows from it.
+//! A change of a catalogue item and its consequence.
 
 use std::fmt;
 
-/// A kind of thing in the catalogue.
+/// Kind of a catalogue item.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum ItemKind {
     /// A team.
@@ -17,12 +17,12 @@
     Entry,
     /// An endpoint.
     Endpoint,
-    /// The weight store, of which there is one.
+    /// The weight store; a catalogue has at most one.
     WeightStore,
 }
 
 impl ItemKind {
-    /// What it is called.
+    /// Returns the name of the kind, for output.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -37,79 +37,79 @@
     }
 }
 
-/// What happens to a thing.
+/// What happens to an item.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Action {
-    /// It is new.
+    /// The item is new.
     Added,
-    /// It is gone.
+    /// The item is removed.
     Removed,
-    /// A field changes.
+    /// The value of a field changes.
     Changed {
-        /// The field, as in a document.
+        /// Name of the field in a document.
         field: &'static str,
-        /// The value before.
+        /// Previous value.
         old: String,
-        /// The value afterwards.
+        /// New value.
         new: String,
     },
 }
 
-/// What follows from a change.
+/// Consequence of a change for the running system.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Consequence {
     /// The endpoint takes no new work; requests in progress finish.
     EndpointDrains,
     /// The endpoint takes new work.
     EndpointTakesWork,
-    /// The model's endpoints are to be changed to this.
+    /// The endpoints of the model have to switch to another version or adapter.
     ModelRollout {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The version.
+        /// Version to switch to.
         version: String,
-        /// The adapter; empty for none.
+        /// Adapter to load; empty for none.
         adapter: String,
-        /// Endpoints that take orders.
+        /// Number of endpoints that accept orders and are switched by the router.
         accepting_orders: usize,
-        /// Endpoints that don't: somebody has to change them.
+        /// Number of endpoints that don't accept orders and have to be switched by hand.
         manual: usize,
     },
-    /// A team is owed another share of a target.
+    /// A team's guaranteed share of a target changes.
     GuaranteedShareChanged {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The target, with its kind.
+        /// Kind and name of the target.
         target: String,
-        /// The share before.
+        /// Previous share.
         old: f64,
-        /// The share afterwards.
+        /// New share.
         new: f64,
     },
     /// A team may use a target.
     AccessGranted {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The target, with its kind.
+        /// Kind and name of the target.
         target: String,
     },
-    /// A team's new calls to a target are refused.
+    /// New calls of a team to a target are refused.
     AccessRevoked {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The target, with its kind.
+        /// Kind and name of the target.
         target: String,
     },
-    /// Keys come and go.
+    /// The accepted keys of a team change.
     KeysChanged {
-        /// Keys accepted from now on.
+        /// Number of keys that become valid.
         added: usize,
-        /// Keys no longer accepted.
+        /// Number of keys that become invalid.
         removed: usize,
     },
-    /// Entries whose promise changes.
+    /// The service level that entries promise changes.
     ServiceLevelChanged {
-        /// How many.
+        /// Number of entries.
         entries: usize,
     },
 }
@@ -143,21 +143,21 @@
     }
 }
 
-/// One change.
+/// A change of one item, or of one field of an item.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Change {
-    /// What kind of thing.
+    /// Kind of the item.
     pub item_kind: ItemKind,
-    /// Its name; empty for the weight store.
+    /// Name of the item; empty for the weight store.
     pub name: String,
-    /// What happens to it.
+    /// What happens to the item.
     pub action: Action,
-    /// What follows.
+    /// Consequence for the running system, if any.
     pub consequence: Option<Consequence>,
 }
 
 impl Change {
-    /// A change of one thing.
+    /// Creates a change.
     #[must_use]
     pub fn new(
         item_kind: ItemKind,
--- a/crates/basilbank_config/src/diff/consequences.rs
+++ b/crates/basilbank_config/src/diff/consequences.rs
@@ -1,22 +1,22 @@
-//! What follows from a change of each kind of thing.
+//! Consequences of changes for each kind of catalogue item.
 
 use basilbank_core::catalogue::{Class, Endpoint, Entry, EntryTarget, ModelSpec, Service, Team};
 
 use super::{change::Consequence, describe::NameLookup};
 
-/// A thing whose changes have consequences.
+/// A catalogue item whose changes may have consequences.
 pub(super) trait ChangeConsequences {
-    /// It is new.
+    /// Returns the consequence of adding the item.
     fn when_added(&self, _: &NameLookup<'_>) -> Option<Consequence> {
         None
     }
 
-    /// It is gone.
+    /// Returns the consequence of removing the item.
     fn when_removed(&self, _: &NameLookup<'_>) -> Option<Consequence> {
         None
     }
 
-    /// One of its fields is another than in `old`.
+    /// Returns the consequence of changing `field`, compared with the item in `old`.
     fn when_changed(&self, old: &Self, field: &str, lookup: &NameLookup<'_>)
     -> Option<Consequence>;
 }
--- a/crates/basilbank_config/src/diff/describe.rs
+++ b/crates/basilbank_config/src/diff/describe.rs
@@ -1,4 +1,4 @@
-//! Things of the catalogue as fields, named and written as in a document.
+//! Formats catalogue items as fields, with the names and values used in documents.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -8,15 +8,15 @@
 
 use super::change::ItemKind;
 
-/// Names by their hashes, and the catalogues that are compared.
+/// Names of items by their hashes, and the new catalogue of a comparison.
 pub(super) struct NameLookup<'a> {
-    /// The catalogue afterwards.
+    /// The new catalogue.
     pub new_catalogue: &'a Catalogue,
     names: HashMap<u64, &'a str>,
 }
 
 impl<'a> NameLookup<'a> {
-    /// The names of both catalogues.
+    /// Collects the names of both catalogues.
     pub fn new(old: &'a Catalogue, new: &'a Catalogue) -> NameLookup<'a> {
         let mut names = HashMap::new();
         for catalogue in [old, new] {
@@ -28,12 +28,12 @@
         NameLookup { new_catalogue: new, names }
     }
 
-    /// The name with a hash; the hash when there is none.
+    /// Returns the name with a hash, or the hash in hex if the name is unknown.
     pub fn name(&self, id: u64) -> String {
         self.names.get(&id).map_or_else(|| format!("{id:016x}"), |name| (*name).to_owned())
     }
 
-    /// A target's kind and name.
+    /// Returns the kind and name of a target.
     pub fn target(&self, target: EntryTarget) -> String {
         match target {
             EntryTarget::Model(id) => format!("model {}", self.name(id.0)),
@@ -42,22 +42,23 @@
     }
 }
 
-/// A field's name and its value.
+/// Name of a field and its formatted value.
 pub(super) type FieldText = (&'static str, String);
 
-/// A thing that can be shown field by field.
+/// A catalogue item that can be formatted field by field.
 pub(super) trait CatalogueItem: PartialEq {
-    /// Its kind.
+    /// Kind of the item.
     const KIND: ItemKind;
 
-    /// Its name.
+    /// Returns the name of the item.
     fn name(&self) -> &str;
 
-    /// Its fields without the name, always the same ones in the same order.
+    /// Returns the fields except the name. The order is always the same, so that two items can be
+    /// compared field by field.
     fn fields(&self, lookup: &NameLookup<'_>) -> Vec<FieldText>;
 }
 
-/// A limit, where zero stands for none.
+/// Formats a limit; zero means that there is none.
 pub(super) fn format_limit(value: f64) -> String {
     if value == 0.0 { "not limited".to_owned() } else { value.to_string() }
 }
@@ -78,7 +79,8 @@
     }
 
     fn fields(&self, _: &NameLookup<'_>) -> Vec<FieldText> {
-        // The first digits tell keys apart; a whole hash would only fill the line.
+        // The first digits are enough to distinguish keys, and full hashes would make the line too
+        // long.
         let start = |key: &[u8; 32]| format!("{:02x}{:02x}…", key[0], key[1]);
         let keys: Vec<_> = self.keys.iter().map(start).collect();
         vec![("keys", format!("[{}]", keys.join(" ")))]
--- a/crates/basilbank_config/src/document.rs
+++ b/crates/basilbank_config/src/document.rs
@@ -1,4 +1,4 @@
-//! What a text is: settings, or a document of the catalogue.
+//! Distinguishes settings files from catalogue documents.
 
 use jsonc_parser::ast::Object;
 
@@ -10,7 +10,7 @@
     syntax,
 };
 
-/// What a text is.
+/// Kind of a configuration text.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum TextKind {
     /// A daemon's settings.
@@ -20,8 +20,8 @@
 }
 
 impl TextKind {
-    /// What a text is, by the names of its fields. A text that can't be read counts as a document
-    /// of the catalogue; it is rejected as either.
+    /// Detects the kind of a text from the names of its fields. A text that can't be parsed counts
+    /// as a catalogue document; it is rejected as either kind.
     #[must_use]
     pub fn detect(text: &str) -> TextKind {
         let mut report = Report::new(vec![Source { name: "", text }]);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The stable name.
+    /// Returns the stable name of the kind, for output.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -43,6 +43,7 @@
     }
 }
 
+/// Returns how many fields of an object the schema defines.
 fn count_known_fields(schema: &ObjectSchema, root: &Object<'_>) -> usize {
     root.properties.iter().filter(|p| schema.field(p.name.as_str()).is_some()).count()
 }
--- a/crates/basilbank_config/src/fields.rs
+++ b/crates/basilbank_config/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reads an object's fields by its section's table.
+//! Reads and checks the fields of a JSON object against its schema.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -13,11 +13,11 @@
     suggestion::closest_match,
 };
 
-/// Longest name.
+/// Maximum length of a name in bytes. Longer texts are truncated to as many characters in messages.
 const MAX_NAME_LEN: usize = 100;
 
-/// An object whose fields were checked. What was wrong is reported; a field that is missing or
-/// wrong reads as `None`.
+/// A JSON object whose fields have been checked against a schema. Errors were reported by
+/// [`Fields::new`]; the accessors return `None` for a missing or invalid field.
 #[derive(Debug)]
 pub(crate) struct Fields<'s, 'a> {
     file: usize,
@@ -26,7 +26,7 @@
 }
 
 impl<'s, 'a> Fields<'s, 'a> {
-    /// Checks an object against its section's table.
+    /// Checks an object against a schema and reports all errors in its fields.
     pub fn new(
         report: &mut Report<'_>,
         file: usize,
@@ -38,73 +38,74 @@
         fields
     }
 
-    /// Where the object starts.
+    /// Returns the start of the object.
     pub fn pos(&self) -> Position {
         Position { file: self.file, offset: self.object.range.start }
     }
 
-    /// Where a field's value is; the object's start when there is none.
+    /// Returns the position of a field's value, or the start of the object if the field is missing.
     pub fn pos_of(&self, name: &str) -> Position {
         let value = self.value(name);
         value.map_or(self.pos(), |v| self.value_pos(v))
     }
 
-    /// Whether a field is there, right or wrong.
+    /// Returns whether a field is present, valid or not.
     pub fn has_field(&self, name: &str) -> bool {
         self.value(name).is_some()
     }
 
-    /// A text, name or choice.
+    /// Returns the value of a text, name or choice field.
     pub fn text(&self, name: &str) -> Option<&'s str> {
         let value = self.valid_value(name)?;
         value.as_string_lit().map(|s| s.value.as_ref())
     }
 
-    /// An address.
+    /// Returns the value of an address field.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.text(name)?.parse().ok()
     }
 
-    /// A flag.
+    /// Returns the value of a boolean field.
     pub fn boolean(&self, name: &str) -> Option<bool> {
         self.valid_value(name)?.as_boolean_lit().map(|b| b.value)
     }
 
-    /// A whole number.
+    /// Returns the value of an integer field.
     pub fn integer(&self, name: &str) -> Option<u64> {
         parse_integer(self.valid_value(name)?.as_number_lit()?.value)
     }
 
-    /// A whole number of a smaller type, which the table's range makes sure it fits.
+    /// Returns the value of an integer field as a narrower type. The range in the schema must
+    /// ensure that it fits.
     pub fn integer_as<T: TryFrom<u64>>(&self, name: &str) -> Option<T> {
         T::try_from(self.integer(name)?).ok()
     }
 
-    /// A whole number of milliseconds.
+    /// Returns the value of an integer field as a duration in milliseconds.
     pub fn millis(&self, name: &str) -> Option<Duration> {
         self.integer(name).map(Duration::from_millis)
     }
 
-    /// A number.
+    /// Returns the value of a number field.
     pub fn number(&self, name: &str) -> Option<f64> {
         parse_number(self.valid_value(name)?.as_number_lit()?.value)
     }
 
-    /// A list of texts with their places.
+    /// Returns the elements of a text list with their positions.
     pub fn text_list(&self, name: &str) -> Option<Vec<(&'s str, Position)>> {
         let list = &self.valid_value(name)?.as_array()?.elements;
         let texts = list.iter().filter_map(|v| Some((v.as_string_lit()?.value.as_ref(), v)));
         Some(texts.map(|(text, v)| (text, self.value_pos(v))).collect())
     }
 
-    /// An object within.
+    /// Returns a nested object after checking its fields.
     pub fn object(&self, report: &mut Report<'_>, name: &str) -> Option<Fields<'s, 'a>> {
         let FieldType::Object(schema) = self.schema.field(name)?.field_type else { return None };
         let object = self.valid_value(name)?.as_object()?;
         Some(Fields::new(report, self.file, schema, object))
     }
 
-    /// The objects of a list within.
+    /// Returns the objects in a list field. Their fields aren't checked yet.
     pub fn object_list(&self, name: &str) -> impl Iterator<Item = &'s Object<'a>> {
         let list = self.value(name).and_then(Value::as_array);
         list.into_iter().flat_map(|l| &l.elements).filter_map(Value::as_object)
@@ -114,11 +115,13 @@
         Position { file: self.file, offset: value.start() }
     }
 
+    /// Returns the value of a field, valid or not.
     fn value(&self, name: &str) -> Option<&'s Value<'a>> {
-        debug_assert!(self.schema.field(name).is_some(), "the table has no {name}");
+        debug_assert!(self.schema.field(name).is_some(), "the schema has no field {name}");
         self.object.get(name).map(|prop| &prop.value)
     }
 
+    /// Returns the value of a field if it is valid.
     fn valid_value(&self, name: &str) -> Option<&'s Value<'a>> {
         let field = self.schema.field(name)?;
         let value = self.value(name)?;
@@ -182,7 +185,7 @@
     }
 }
 
-/// What is wrong with a field's value.
+/// Returns a message that says what is wrong with a field's value; `None` if the value is valid.
 fn invalid_value_message(field: &Field, value: &Value<'_>) -> Option<String> {
     let name = field.name;
     let is_valid = match (&field.field_type, value) {
@@ -216,6 +219,7 @@
     })
 }
 
+/// Returns the JSON type of a value, for messages.
 fn type_name(value: &Value<'_>) -> &'static str {
     match value {
         Value::StringLit(_) => "a text",
@@ -227,7 +231,7 @@
     }
 }
 
-/// The start of a text, for messages.
+/// Returns the first characters of a text, for messages.
 fn truncate(text: &str) -> String {
     text.chars().take(MAX_NAME_LEN).collect()
 }
@@ -247,8 +251,8 @@
     text.parse().ok().filter(|n: &f64| n.is_finite())
 }
 
-/// A whole number, also when it is written like 5e9. A fraction is none, and neither is a float
-/// beyond 2^53, which might stand for another number than the one written.
+/// Parses an integer, also in exponent notation such as 5e9. Returns `None` for a fraction, and for
+/// a number in exponent notation above 2^53, because an `f64` may not represent it exactly.
 fn parse_integer(text: &str) -> Option<u64> {
     const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
     if let Ok(n) = text.parse() {
--- a/crates/basilbank_config/src/finding.rs
+++ b/crates/basilbank_config/src/finding.rs
@@ -1,18 +1,18 @@
-//! What a check found.
+//! Errors and warnings found by a check.
 
 use std::{error::Error, fmt};
 
-/// How bad a finding is.
+/// Severity of a finding.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Severity {
     /// The text is not accepted.
     Error,
-    /// The text is accepted, but probably not what was meant.
+    /// The text is accepted, but probably doesn't do what was intended.
     Warning,
 }
 
 impl Severity {
-    /// The stable name.
+    /// Returns the stable name of the severity, for output.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -22,20 +22,20 @@
     }
 }
 
-/// One thing that is wrong with a text.
+/// An error or warning about one position in a text.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Finding {
-    /// The file's name, or the document's key.
+    /// Name of the file, or key of the document.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
-    /// How bad it is.
+    /// Whether it is an error or a warning.
     pub severity: Severity,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What to write instead.
+    /// Suggested correction.
     pub help: String,
 }
 
@@ -46,27 +46,27 @@
     }
 }
 
-/// All findings of one check, by file, line and column.
+/// All findings of one check, sorted by file, line and column.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Findings {
-    /// The findings.
+    /// The findings in order.
     pub items: Vec<Finding>,
 }
 
 impl Findings {
-    /// How many of the findings are errors.
+    /// Returns the number of findings that are errors.
     #[must_use]
     pub fn error_count(&self) -> usize {
         self.items.iter().filter(|f| f.severity == Severity::Error).count()
     }
 
-    /// Whether nothing was found.
+    /// Returns whether there are neither errors nor warnings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// The number of findings.
+    /// Returns the number of errors and warnings.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
@@ -74,7 +74,7 @@
 }
 
 impl fmt::Display for Findings {
-    /// One finding a line.
+    /// Writes one finding per line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, finding) in self.items.iter().enumerate() {
             if i > 0 {
--- a/crates/basilbank_config/src/key.rs
+++ b/crates/basilbank_config/src/key.rs
@@ -3,13 +3,13 @@
 use basilbank_core::catalogue::KeyHash;
 use sha2::{Digest, Sha256};
 
-/// The SHA-256 of a bearer key, as the catalogue holds it.
+/// Returns the SHA-256 hash of a bearer key. The catalogue stores only these hashes.
 #[must_use]
 pub fn key_hash(bearer: &str) -> KeyHash {
     Sha256::digest(bearer.as_bytes()).into()
 }
 
-/// Reads a hash that is written as 64 hex digits.
+/// Parses a hash written as 64 hex digits.
 pub(crate) fn parse_key_hash(text: &str) -> Option<KeyHash> {
     let mut hash = KeyHash::default();
     if text.len() != 2 * hash.len() {
--- a/crates/basilbank_config/src/lib.rs
+++ b/crates/basilbank_config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings and catalogue: JSON with comments, checked. All findings are reported together, each
-//! with its file, line and column.
+//! Parses and validates the daemon's settings and the operators' catalogue, which are JSON with
+//! comments. All findings of a check are reported together, each with its file, line and column.
 //!
 //! ```
 //! use basilbank_config::{Document, parse_catalogue};
--- a/crates/basilbank_config/src/names.rs
+++ b/crates/basilbank_config/src/names.rs
@@ -1,25 +1,27 @@
-//! Names of one kind, and references to them.
+//! Names of one kind of item, and checks of the references to them.
 
 use crate::{
     report::{Position, Report},
     suggestion::closest_match,
 };
 
-/// Unknown references that get a suggestion; more would cost time in a large catalogue.
+/// Maximum number of unknown references that get a suggestion. More would take too long in a large
+/// catalogue.
 const MAX_SUGGESTIONS: usize = 100;
 
-/// A name where it is given.
+/// A name at one position in a document.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct Name {
-    /// Hash of the name.
+    /// Hash of the name, which identifies the item.
     pub id: u64,
-    /// The name.
+    /// The name as written.
     pub text: String,
-    /// Where.
+    /// Position of the name.
     pub pos: Position,
 }
 
-/// All names of one kind. `seal` comes before all look-ups.
+/// All names of one kind of item. Call `sort_and_check_unique` or `sort_and_check_shared` before
+/// any lookup, because lookups use binary search.
 #[derive(Debug)]
 pub(crate) struct NameTable {
     noun: &'static str,
@@ -27,19 +29,19 @@
 }
 
 impl NameTable {
-    /// No names yet of what is called `noun`.
+    /// Creates an empty table. `noun` is what messages call an item of this kind.
     pub fn new(noun: &'static str) -> NameTable {
         NameTable { noun, names: Vec::new() }
     }
 
-    /// Adds a name.
+    /// Adds a name with its hash and position.
     pub fn add(&mut self, id: u64, text: &str, pos: Position) {
         self.names.push(Name { id, text: text.to_owned(), pos });
     }
 
-    /// Reports names that are given twice, and different names whose hashes are the same. Daemons
-    /// know things by the hash alone: with such a pair, work for the one would go to the other, and
-    /// nothing but wrong answers would show it. Renaming one of them is cheap.
+    /// Sorts the names, and reports duplicates and different names with the same hash. Daemons
+    /// identify items by the hash alone: with such a collision, calls for one item would run on the
+    /// other, and only wrong answers would show it. Renaming one of them is cheap.
     pub fn sort_and_check_unique(&mut self, report: &mut Report<'_>) {
         self.names.sort_unstable();
         for pair in self.names.windows(2) {
@@ -61,14 +63,15 @@
         }
     }
 
-    /// Like `seal`, for names that may be given any number of times.
+    /// Does the same as `sort_and_check_unique` for names that may occur more than once: only hash
+    /// collisions are reported.
     pub fn sort_and_check_shared(&mut self, report: &mut Report<'_>) {
         self.names.sort_unstable();
         self.names.dedup_by(|a, b| a.text == b.text);
         self.sort_and_check_unique(report);
     }
 
-    /// Reports references to names that are not there.
+    /// Reports references to names that the table doesn't contain.
     pub fn check_references(&self, report: &mut Report<'_>, references: &[Name]) {
         let unresolved = references.iter().filter(|r| !self.contains_id(r.id));
         for (i, reference) in unresolved.enumerate() {
@@ -82,7 +85,7 @@
         }
     }
 
-    /// The name with an id.
+    /// Returns the name with an id.
     pub fn name_of(&self, id: u64) -> Option<&str> {
         let index = self.names.binary_search_by_key(&id, |n| n.id).ok()?;
         Some(&self.names[index].text)
--- a/crates/basilbank_config/src/names/tests.rs
+++ b/crates/basilbank_config/src/names/tests.rs
@@ -1,9 +1,9 @@
 use super::NameTable;
 use crate::report::{Position, Report, Source};
 
-/// Symptom: calls for one entry run at another's endpoint. Sequence: two names with the same 64-bit
-/// hash come into one catalogue. Cause: things are known by their hash alone. No two such names are
-/// at hand, so the test gives two names the same hash.
+/// If two names in a catalogue have the same 64-bit hash, calls for one entry run at the endpoint
+/// of the other, because daemons identify items by the hash alone. No pair of colliding names is
+/// known, so the test passes the same hash for two names.
 #[test]
 fn names_with_the_same_hash_are_reported() {
     let mut report = Report::new(vec![Source { name: "c", text: "ab\ncd" }]);
--- a/crates/basilbank_config/src/report.rs
+++ b/crates/basilbank_config/src/report.rs
@@ -1,27 +1,28 @@
-//! Findings while they are collected.
+//! Collects the findings of a check.
 
 use std::collections::HashMap;
 
 use crate::finding::{Finding, Findings, Severity};
 
-/// A place in one of the texts that are checked.
+/// A position in one of the checked texts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub(crate) struct Position {
-    /// Position among the texts.
+    /// Index of the text in the report's sources.
     pub file: usize,
-    /// Byte offset.
+    /// Byte offset in the text.
     pub offset: usize,
 }
 
-/// A text that is checked.
+/// A text to check.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Source<'a> {
-    /// The file's name, or the document's key.
+    /// Name of the file, or key of the document.
     pub name: &'a str,
-    /// The text.
+    /// Contents of the file or document.
     pub text: &'a str,
 }
 
+/// A finding whose line and column have not been computed yet.
 #[derive(Debug)]
 struct PendingFinding {
     pos: Position,
@@ -31,8 +32,8 @@
     help: String,
 }
 
-/// The findings so far. Lines and columns are worked out at the end, in one pass over each text, so
-/// that a large text with many findings takes no longer than a small one for each.
+/// The findings collected so far. Lines and columns are computed at the end in one pass over each
+/// text, so that the time per finding doesn't grow with the size of the text.
 #[derive(Debug)]
 pub(crate) struct Report<'a> {
     sources: Vec<Source<'a>>,
@@ -40,22 +41,22 @@
 }
 
 impl<'a> Report<'a> {
-    /// No findings yet.
+    /// Creates a report without findings.
     pub fn new(sources: Vec<Source<'a>>) -> Report<'a> {
         Report { sources, pending: Vec::new() }
     }
 
-    /// The texts.
+    /// Returns a text by its index.
     pub fn source(&self, file: usize) -> Source<'a> {
         self.sources[file]
     }
 
-    /// Adds an error: what is wrong, and what to write instead.
+    /// Adds an error with a description of the problem and a suggested correction.
     pub fn error(&mut self, pos: Position, message: impl Into<String>, help: impl Into<String>) {
         self.add(pos, None, Severity::Error, message.into(), help.into());
     }
 
-    /// Adds an error that another place has a part in.
+    /// Adds an error that involves a second position, which the message will name.
     pub fn conflict(
         &mut self,
         pos: Position,
@@ -66,7 +67,7 @@
         self.add(pos, Some(related), Severity::Error, message.into(), help.into());
     }
 
-    /// Adds a warning.
+    /// Adds a warning with a description of the problem and a suggested correction.
     pub fn warning(&mut self, pos: Position, message: impl Into<String>, help: impl Into<String>) {
         self.add(pos, None, Severity::Warning, message.into(), help.into());
     }
@@ -82,7 +83,7 @@
         self.pending.push(PendingFinding { pos, related, severity, message, help });
     }
 
-    /// All findings, with their places, in order.
+    /// Returns all findings with their lines and columns, sorted by position.
     pub fn finish(self) -> Findings {
         let line_columns = self.line_columns();
         let mut pending = self.pending;
@@ -101,6 +102,7 @@
         Findings { items: pending.into_iter().map(finding).collect() }
     }
 
+    /// Returns the line and column of every position that a finding refers to.
     fn line_columns(&self) -> HashMap<Position, (usize, usize)> {
         let mut positions: Vec<Position> = self
             .pending
@@ -117,7 +119,7 @@
     }
 }
 
-/// Lines and columns of sorted spots in one text.
+/// Returns the lines and columns of sorted positions in one text.
 fn locate(text: &str, positions: &[Position]) -> Vec<(Position, (usize, usize))> {
     let (mut line, mut column, mut scanned) = (1, 1, 0);
     let mut located = Vec::with_capacity(positions.len());
--- a/crates/basilbank_config/src/schema.rs
+++ b/crates/basilbank_config/src/schema.rs
@@ -1,65 +1,66 @@
-//! Which fields there are, and what each may hold. The reader and the operators' reference both go
-//! by these tables.
+//! Schemas of JSON objects. Both the reader and the field reference for operators are derived from
+//! them.
 
-/// The fields of one kind of object.
+/// Schema of one kind of JSON object.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ObjectSchema {
-    /// What one such object is called in findings, for example `team`.
+    /// What findings call such an object, for example `team`.
     pub noun: &'static str,
-    /// Its fields.
+    /// Fields that the object may have.
     pub fields: &'static [Field],
 }
 
-/// One field.
+/// Schema of one field.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Field {
-    /// Its name; a unit is part of it.
+    /// Name of the field, including its unit.
     pub name: &'static str,
-    /// Whether it may be left out.
+    /// Whether the field is required.
     pub presence: Presence,
-    /// What it may hold.
+    /// Values that the field accepts.
     pub field_type: FieldType,
-    /// A value that it may have, as JSON.
+    /// Example of a valid value, as JSON.
     pub example: &'static str,
-    /// What it is for.
+    /// Description for the reference.
     pub doc: &'static str,
 }
 
-/// Whether a field may be left out.
+/// Whether a field is required or optional.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Presence {
-    /// It must be there.
+    /// The field must be given.
     Required,
-    /// It may be left out. The text says what holds then: a JSON value, or words.
+    /// The field may be omitted. The text gives the default: a JSON value, or a description.
     Optional(&'static str),
 }
 
-/// What a field may hold.
+/// Type and range of a field's value.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum FieldType {
-    /// Letters, digits, `.`, `_` and `-`: at most 100, the first a letter or digit.
+    /// A name of at most 100 ASCII letters, digits, `.`, `_` and `-` that starts with a letter or
+    /// digit.
     Name,
-    /// Text without control characters.
+    /// A text that is not empty and has no control characters.
     Text,
-    /// Text that findings don't repeat.
+    /// A text that findings don't show, such as a key.
     Secret {
-        /// Least characters.
+        /// Minimum length in characters.
         min: usize,
     },
-    /// An IP number and a port.
+    /// An IP address with a port.
     Address,
     /// One of these texts.
     Choice(&'static [&'static str]),
     /// `true` or `false`.
     Bool,
-    /// A whole number; 5e9 is one.
+    /// An integer, which may also be written in exponent notation such as 5e9.
     Integer {
         /// Smallest value.
         min: u64,
         /// Largest value.
         max: u64,
     },
-    /// A number.
+    /// A finite number.
     Number {
         /// Smallest value.
         min: f64,
@@ -75,13 +76,13 @@
 }
 
 impl ObjectSchema {
-    /// The field of a name.
+    /// Returns the field with this name.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&'static Field> {
         self.fields.iter().find(|f| f.name == name)
     }
 
-    /// The fields as a Markdown table, for the operators' reference.
+    /// Returns the fields as a Markdown table, for the operators' reference.
     #[must_use]
     pub fn markdown_table(&self) -> String {
         let mut table =
@@ -97,7 +98,8 @@
         table
     }
 
-    /// This section and those within it, each with the path of fields that leads to it.
+    /// Returns this schema and all nested ones, each with the dotted path of fields that leads to
+    /// it.
     #[must_use]
     pub fn with_nested(&'static self) -> Vec<(String, &'static ObjectSchema)> {
         let mut all = vec![(String::new(), self)];
@@ -117,7 +119,7 @@
 }
 
 impl Field {
-    /// A field that must be there.
+    /// Creates a required field.
     pub(crate) const fn required(
         name: &'static str,
         field_type: FieldType,
@@ -126,7 +128,7 @@
         Field { name, presence: Presence::Required, field_type, example, doc: "" }
     }
 
-    /// A field that may be left out.
+    /// Creates an optional field.
     pub(crate) const fn optional(
         name: &'static str,
         field_type: FieldType,
@@ -136,19 +138,19 @@
         Field { name, presence: Presence::Optional(default), field_type, example, doc: "" }
     }
 
-    /// Says what it is for.
+    /// Sets the field's description.
     pub(crate) const fn doc(self, doc: &'static str) -> Field {
         Field { doc, ..self }
     }
 }
 
 impl FieldType {
-    /// Milliseconds from `min` to an hour.
+    /// Returns the type of a duration in milliseconds, from `min` to one hour.
     pub(crate) const fn millis(min: u64) -> FieldType {
         FieldType::Integer { min, max: 3_600_000 }
     }
 
-    /// What it holds, in words.
+    /// Describes the accepted values, for messages and the reference.
     #[must_use]
     pub fn describe(&self) -> String {
         match self {
--- a/crates/basilbank_config/src/settings.rs
+++ b/crates/basilbank_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a daemon is told at its start.
+//! Settings that a daemon reads when it starts.
 
 mod read;
 mod schema;
@@ -12,27 +12,27 @@
 /// A daemon's settings.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Settings {
-    /// The VM's name on the platform's list.
+    /// Name of the VM in the platform's list.
     pub name: String,
-    /// The data centre that the VM is in.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// Where callers connect; port 0 lets the system choose.
+    /// Address that callers connect to; with port 0 the system chooses a free port.
     pub callers: SocketAddr,
-    /// Where peers are heard, by UDP and TCP.
+    /// Address for messages from other daemons, over UDP and TCP.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// Address that operators connect to.
     pub admin: SocketAddr,
-    /// The platform's base URL, for example `http://10.0.0.1:2379`.
+    /// Base URL of the platform, for example `http://10.0.0.1:2379`.
     pub platform: String,
-    /// The key that all daemons share, for peers' messages and callers' cursors.
+    /// Key shared by all daemons, which authenticates their messages and callers' cursors.
     pub peer_key: String,
-    /// The bearer key of operators.
+    /// Bearer key of operators.
     pub admin_key: String,
     /// Limits of the callers' API.
     pub limits: ApiLimits,
-    /// Logs.
+    /// Log level and destination.
     pub log: LogSettings,
-    /// Constants of the decisions.
+    /// Tuning constants of the daemon, such as timeouts and intervals.
     pub tuning: Tuning,
 }
 
@@ -58,19 +58,19 @@
 /// Limits of the callers' API.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ApiLimits {
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers in bytes.
     pub max_header_bytes: usize,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Time for a request's headers to arrive.
+    /// Maximum time for a request's headers to arrive.
     pub header_timeout: Duration,
-    /// Time for a request's body to arrive.
+    /// Maximum time for a request's body to arrive.
     pub body_timeout: Duration,
-    /// Bytes of a plain service's answer.
+    /// Maximum size of a plain service's response in bytes.
     pub max_answer_bytes: usize,
-    /// Tokens that wait for a slow caller.
+    /// Maximum number of tokens buffered for a slow caller.
     pub max_backlog_tokens: usize,
 }
 
@@ -88,12 +88,12 @@
     }
 }
 
-/// Logs.
+/// Log level and destination.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LogSettings {
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// Minimum severity that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// A file to append to; standard error when `None`.
+    /// File that the log is appended to; `None` logs to standard error.
     pub file: Option<String>,
 }
 
--- a/crates/basilbank_config/src/settings/read.rs
+++ b/crates/basilbank_config/src/settings/read.rs
@@ -13,11 +13,11 @@
 };
 
 impl Settings {
-    /// Reads a settings file's text. `file_name` is what findings call it.
+    /// Parses the text of a settings file. `file_name` is the name used in findings.
     ///
     /// # Errors
     ///
-    /// All that is wrong with the text, at once.
+    /// Returns all findings if the text is invalid.
     pub fn parse(file_name: &str, text: &str) -> Result<Settings, Findings> {
         let mut report = Report::new(vec![Source { name: file_name, text }]);
         let root = syntax::parse_root(&mut report, 0);
@@ -55,6 +55,7 @@
     }
 }
 
+/// Reports a platform URL that isn't `http://` with an IP address and a port.
 fn check_platform(report: &mut Report<'_>, fields: &Fields<'_, '_>) {
     let Some(url) = fields.text("platform") else { return };
     let host = url.strip_prefix("http://").map(|rest| rest.trim_end_matches('/'));
@@ -64,8 +65,8 @@
     }
 }
 
-/// Operators' key and peers' key are different people's: whoever has the one could otherwise forge
-/// peers' messages and callers' cursors with it.
+/// Reports an admin key that is equal to the peer key. The keys belong to different people: with a
+/// shared key, operators could forge messages of daemons and callers' cursors.
 fn check_keys(report: &mut Report<'_>, fields: &Fields<'_, '_>) {
     let (peer, admin) = (fields.text("peer_key"), fields.text("admin_key"));
     if peer.is_some() && peer == admin {
@@ -75,7 +76,8 @@
     }
 }
 
-/// Two listeners can't have one address. Callers and admin are both TCP, and peers is TCP and UDP.
+/// Reports listeners with the same address. `callers` and `admin` listen on TCP, and `peers` on TCP
+/// and UDP, so no two of them can share an address.
 fn check_addresses(report: &mut Report<'_>, fields: &Fields<'_, '_>) {
     let names = ["callers", "peers", "admin"];
     for (i, second) in names.iter().enumerate() {
@@ -136,16 +138,17 @@
     tuning
 }
 
-/// Takes a value over if there is one.
+/// Replaces `target` if there is a value.
 fn override_if_some<T>(target: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *target = value;
     }
 }
 
+/// Reports tuning constants that contradict each other.
 fn check_tuning(report: &mut Report<'_>, fields: &Fields<'_, '_>, tuning: &Tuning) {
     if tuning.dead_after < tuning.heartbeat * 3 {
-        // With less, one lost heartbeat makes a live daemon count as dead.
+        // With a shorter time, one lost heartbeat would make a live daemon count as dead.
         let message = "\"dead_after_ms\" is less than three heartbeats";
         let help = format!("write at least {}", 3 * tuning.heartbeat.as_millis());
         report.error(fields.pos_of("dead_after_ms"), message, help);
--- a/crates/basilbank_config/src/settings/schema.rs
+++ b/crates/basilbank_config/src/settings/schema.rs
@@ -1,14 +1,14 @@
-//! The fields of a settings file.
+//! Schema of a settings file.
 
 use crate::schema::{Field, FieldType, ObjectSchema};
 
-/// Least characters of a key that processes or people prove themselves by.
+/// Minimum length in characters of the keys that authenticate daemons and operators.
 const MIN_KEY_CHARS: usize = 16;
 
-/// Largest size in bytes that a setting may ask for: a VM has little memory.
+/// Maximum for sizes in bytes, because a VM has little memory.
 const MAX_SIZE_BYTES: u64 = 1 << 30;
 
-/// A settings file.
+/// Schema of a settings file.
 pub const SETTINGS: ObjectSchema = ObjectSchema {
     noun: "settings object",
     fields: &[
--- a/crates/basilbank_config/src/suggestion.rs
+++ b/crates/basilbank_config/src/suggestion.rs
@@ -1,15 +1,16 @@
-//! The known word that a misspelt one was probably meant to be.
+//! Suggests a known word for a misspelt one.
 
-/// Most edits between a misspelt word and the one suggested.
+/// Maximum number of edits between a misspelt word and the suggested one.
 const MAX_EDITS: usize = 3;
 
-/// Least characters of a known name's start that stand for the whole.
+/// Minimum length in bytes of a word that is treated as an abbreviation of a known word.
 const MIN_PREFIX_LEN: usize = 3;
 
-/// Longest word that is compared: a longer one costs time and is hardly a misspelling.
+/// Maximum length in bytes of words that are compared. Longer words take time and are unlikely to
+/// be misspellings.
 const MAX_WORD_LEN: usize = 64;
 
-/// The known word that is nearest to `word`, if one is near enough.
+/// Returns the known word that is closest to `word`, or `None` if none is close enough.
 pub(crate) fn closest_match<'a>(
     word: &str,
     known: impl Iterator<Item = &'a str>,
@@ -20,7 +21,8 @@
     (edits <= max_edits).then_some(best)
 }
 
-/// Edits from a word to a known one. A known name's start, mostly one without its unit, is one off.
+/// Returns the number of edits from a word to a known one, or `None` if there are too many. A
+/// prefix of the known word counts as one edit: usually it is a field name without its unit.
 fn distance(word: &str, known: &str) -> Option<usize> {
     if MIN_PREFIX_LEN <= word.len() && known.starts_with(word) && known != word {
         return Some(1);
@@ -28,8 +30,9 @@
     edit_distance(word, known)
 }
 
-/// Edits (insert, delete, replace, swap neighbours) from `a` to `b`; `None` when there are
-/// certainly too many.
+/// Returns the number of edits (insertions, deletions, substitutions and swaps of neighbours) from
+/// `a` to `b`. Returns `None` without computing it if a word is too long or the lengths differ too
+/// much.
 fn edit_distance(a: &str, b: &str) -> Option<usize> {
     let (a, b) = (a.as_bytes(), b.as_bytes());
     if MAX_WORD_LEN < a.len() || MAX_WORD_LEN < b.len() || MAX_EDITS < a.len().abs_diff(b.len()) {
--- a/crates/basilbank_config/src/syntax.rs
+++ b/crates/basilbank_config/src/syntax.rs
@@ -1,10 +1,10 @@
-//! From text to a syntax tree with places.
+//! Parses a text into a syntax tree with positions.
 
 use jsonc_parser::{CollectOptions, ParseOptions, ast::Object, ast::Value, parse_to_ast};
 
 use crate::report::{Position, Report};
 
-/// JSON with comments and trailing commas, and nothing else.
+/// Accepts JSON with comments and trailing commas, and no other extensions.
 const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -18,7 +18,8 @@
     allow_extended_string_escapes: false,
 };
 
-/// The object that a text consists of. Whatever hinders that is reported.
+/// Parses a text that consists of one object. Returns `None` after reporting a syntax error, or
+/// that the text is not an object.
 pub(crate) fn parse_root<'a>(report: &mut Report<'a>, file: usize) -> Option<Object<'a>> {
     let text = report.source(file).text;
     let parsed = match parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS) {
@@ -42,6 +43,7 @@
     Some(object)
 }
 
+/// Returns the text with its first character in lower case, to continue a message.
 fn lowercase_first(text: &str) -> String {
     let mut chars = text.chars();
     chars.next().map(|c| c.to_ascii_lowercase()).into_iter().chain(chars).collect()
--- a/crates/basilbank_config/tests/catalogue_findings.rs
+++ b/crates/basilbank_config/tests/catalogue_findings.rs
@@ -1,4 +1,4 @@
-//! Each finding of a catalogue: where it points and what it says.
+//! Tests the position and message of each finding in a catalogue.
 
 use basilbank_config::{Document, check_catalogue, parse_catalogue};
 use test_case::test_case;
@@ -30,7 +30,7 @@
     texts.iter().enumerate().map(document).collect()
 }
 
-/// The findings of the sound catalogue with `text` as a second document.
+/// Returns the findings for the valid catalogue with `text` as a second document.
 fn findings_with(text: &str) -> Vec<String> {
     let findings = check_catalogue(1, &documents(&[VALID_CATALOGUE, text])).findings;
     findings.items.iter().map(ToString::to_string).collect()
@@ -167,8 +167,8 @@
     assert_eq!(positions, [(2, 13), (2, 15), (3, 41), (4, 39)]);
 }
 
-/// Symptom: hundreds of findings that hide the one that matters. Sequence: one document of several
-/// is cut short; the others refer into it. Cause: what it holds isn't known.
+/// If one of several documents is truncated, references from the others to its items can't be
+/// resolved. Reporting each of them would hide the syntax error among hundreds of findings.
 #[test]
 fn unparsable_document_is_the_only_finding() {
     let truncated = &VALID_CATALOGUE[..VALID_CATALOGUE.len() - 1];
@@ -178,8 +178,8 @@
     assert_eq!(findings.items[0].file, "catalogue/1");
 }
 
-/// Symptom: one daemon takes a revision, another rejects it. Cause: the check depends on something
-/// other than the texts, for example the order in which documents came.
+/// If the check depended on anything but the texts, such as the order in which documents arrive,
+/// one daemon could accept a revision that another rejects.
 #[test]
 fn document_order_does_not_affect_the_result() {
     let other = "{ \"teams\": [{ \"name\": \"a\" }, { \"name\": \"office\" }] }";
--- a/crates/basilbank_config/tests/diff.rs
+++ b/crates/basilbank_config/tests/diff.rs
@@ -1,4 +1,4 @@
-//! What a new catalogue changes, and what follows.
+//! Tests the description of each change of a catalogue and its consequence.
 
 use basilbank_config::{Document, diff, parse_catalogue};
 use basilbank_core::catalogue::Catalogue;
--- a/crates/basilbank_config/tests/examples.rs
+++ b/crates/basilbank_config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples have no findings, and show every field that there is.
+//! Tests that the examples have no findings and contain every field of the schema.
 
 use basilbank_config::{
     CATALOGUE, Document, LogSettings, ObjectSchema, SETTINGS, Settings, check_catalogue, key_hash,
--- a/crates/basilbank_config/tests/invalid_text.rs
+++ b/crates/basilbank_config/tests/invalid_text.rs
@@ -1,11 +1,11 @@
-//! Whatever stands in a document, the check ends with an answer.
+//! Property tests: checking any text returns a result instead of panicking.
 
 use basilbank_config::{Document, Settings, TextKind, check_catalogue};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 const VALID_CATALOGUE: &str = include_str!("../examples/kitafuji.jsonc");
 
-/// Pieces that break texts in many ways.
+/// Fragments that break the syntax of a text in different ways.
 const FRAGMENTS: [&str; 16] = [
     "",
     "{",
@@ -29,7 +29,7 @@
     Document { key: key.to_owned(), text: Some(text.to_owned()), revision: 1 }
 }
 
-/// Replaces some stretches of a sound text.
+/// Generates texts by replacing parts of a valid catalogue with fragments.
 fn damaged_text() -> impl Strategy<Value = String> {
     let edit = (0..VALID_CATALOGUE.len(), 0..40_usize, 0..FRAGMENTS.len());
     proptest::collection::vec(edit, 1..6).prop_map(|edits| {
@@ -43,7 +43,7 @@
     })
 }
 
-/// The same cases on every run.
+/// Uses a fixed seed, so that every run tests the same cases.
 fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 256,
@@ -56,8 +56,8 @@
 proptest! {
     #![proptest_config(proptest_config())]
 
-    /// Symptom: every daemon dies as soon as one document is published. Sequence: an operator
-    /// publishes a damaged text. Cause: the check panics instead of reporting.
+    /// If the check panics on a damaged document instead of reporting it, every daemon crashes as
+    /// soon as an operator publishes that document.
     #[test]
     fn damaged_catalogue_is_checked_without_panic(text in damaged_text()) {
         let documents = [document("a", &text), document("b", "{ \"teams\": [{ \"name\": \"x\" }] }")];
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The same for texts that are nothing at all.
+    /// Arbitrary text must not cause a panic, and must not be accepted as settings.
     #[test]
     fn arbitrary_text_is_checked_without_panic(text in ".{0,200}") {
         let errors = check_catalogue(1, &[document("a", &text)]).findings.error_count();
--- a/crates/basilbank_config/tests/operators_page.rs
+++ b/crates/basilbank_config/tests/operators_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page: its examples are sound, and its tables are the ones that the reader goes by.
+//! Tests that the examples in `docs/OPERATORS.md` are valid and that its tables match the schemas.
 
 use basilbank_config::{
     CATALOGUE, Document, ObjectSchema, SETTINGS, Settings, TextKind, check_catalogue,
@@ -7,7 +7,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATORS.md");
 
-/// The fenced blocks of JSON with comments.
+/// Returns the fenced code blocks with JSON with comments.
 fn jsonc_blocks() -> Vec<&'static str> {
     let parts = PAGE.split("```jsonc\n").skip(1);
     parts.map(|part| part.split("```").next().unwrap()).collect()
@@ -23,7 +23,8 @@
     check_catalogue(1, &documents).findings.to_string()
 }
 
-/// The first block is a whole catalogue, the others are documents beside it, or settings.
+/// The first block is a full catalogue. Each of the others is a settings file or a document that is
+/// valid together with the first block.
 #[test]
 fn examples_have_no_errors() {
     let blocks = jsonc_blocks();
--- a/crates/basilbank_config/tests/settings_findings.rs
+++ b/crates/basilbank_config/tests/settings_findings.rs
@@ -1,4 +1,4 @@
-//! Settings: defaults, values, and each finding.
+//! Tests the defaults and values of settings, and each finding.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use basilbank_core::tuning::Tuning;
 use test_case::test_case;
 
-/// A settings text with more fields at its end.
+/// Returns a valid settings text with `more` fields at its end.
 fn settings_text_with(more: &str) -> String {
     format!(
         r#"{{
@@ -43,8 +43,9 @@
     assert_eq!(settings.tuning.retry_ratio, 0.1);
 }
 
-/// Symptom: the reference says another default than the daemon has. Cause: the table and the code
-/// each state it. Here the table's defaults are written out and read back.
+/// The defaults are defined both in the schema and in the code. If they differ, the reference
+/// states a default that the daemon doesn't use. The test writes the schema's defaults as settings
+/// and parses them.
 #[test]
 fn schema_defaults_match_the_code() {
     let schema_defaults = |schema: &ObjectSchema| {
@@ -66,8 +67,8 @@
     assert_eq!(Settings::parse("s", &text).unwrap(), defaults);
 }
 
-/// Symptom: a constant can't be set. Sequence: the decisions gain one, the settings don't. Cause:
-/// each is named in both.
+/// Each tuning constant is defined both in `Tuning` and in the settings' schema. A constant that is
+/// missing in the schema can't be set.
 #[test]
 fn every_tuning_constant_is_a_setting() {
     let tuning = SETTINGS.field("tuning").unwrap();
