--- a/crates/basilbank_config/src/catalogue/schema.rs
+++ b/crates/basilbank_config/src/catalogue/schema.rs
@@ -13,14 +13,14 @@
     noun: "catalogue",
     fields: &[
         Field::optional("teams", FieldType::ObjectList(&TEAM), "[]", "[{ \"name\": \"fitters\" }]")
-            .doc("Who is charged."),
+            .doc("Teams, which calls are charged to."),
         Field::optional(
             "classes",
             FieldType::ObjectList(&CLASS),
             "[]",
             "[{ \"name\": \"draft\" }]",
         )
-        .doc("What is promised."),
+        .doc("Classes of service: latency targets, waiting time and priority."),
         Field::optional(
             "models",
             FieldType::ObjectList(&MODEL),
@@ -48,14 +48,14 @@
             "[]",
             "[{ \"name\": \"run-1\" }]",
         )
-        .doc("Where work runs."),
+        .doc("Endpoints that requests run on."),
         Field::optional(
             "weight_store",
             FieldType::Object(&WEIGHT_STORE),
             "not limited",
             "{ \"bytes_per_s\": 2e9 }",
         )
-        .doc("Where endpoints load models from."),
+        .doc("The store that endpoints load models from."),
     ],
 };
 
@@ -81,7 +81,7 @@
         Field::optional("wait_ms", FieldType::millis(0), "0", "5000")
             .doc("How long a request may wait beyond its target; 0 refuses it at once."),
         Field::optional("priority", FieldType::Integer { min: 0, max: 255 }, "0", "10")
-            .doc("Higher goes first at the engines."),
+            .doc("Engines run requests of a higher priority first."),
     ],
 };
 
@@ -91,9 +91,9 @@
     fields: &[
         Field::required("name", FieldType::Name, "\"quote-writer\"").doc("Its name."),
         Field::required("version", FieldType::Name, "\"v7\"")
-            .doc("The version that its endpoints shall serve."),
+            .doc("The version that its endpoints should serve."),
         Field::optional("adapter", FieldType::Name, "none", "\"kitchens\"")
-            .doc("The adapter that its endpoints shall have loaded."),
+            .doc("The adapter that its endpoints should have loaded."),
         Field::required("weight_bytes", FieldType::Integer { min: 1, max: MAX_BYTES }, "16e9")
             .doc("Size of the weights."),
         Field::required(
@@ -135,14 +135,14 @@
         Field::optional(
             "model",
             FieldType::Name,
-            "\"service\" stands in its place",
+            "\"service\" is given instead",
             "\"quote-writer\"",
         )
         .doc("The model it gives access to."),
         Field::optional(
             "service",
             FieldType::Name,
-            "\"model\" stands in its place",
+            "\"model\" is given instead",
             "\"fitter-desk\"",
         )
         .doc("The service it gives access to."),
@@ -167,7 +167,7 @@
         )
         .doc("Requests in progress."),
         Field::optional("owed", FieldType::Number { min: 0.0, max: 1.0 }, "0", "0.4")
-            .doc("Share of the target's capacity that the owner can have whenever it wants it."),
+            .doc("Guaranteed share of the target's capacity, which the owner can use at any time."),
     ],
 };
 
@@ -180,18 +180,18 @@
             .doc("Where it listens."),
         Field::required("data_centre", FieldType::Name, "\"hall-a\"").doc("Where it is."),
         Field::required("role", FieldType::Choice(&["prefill", "decode", "plain"]), "\"decode\"")
-            .doc("What it does."),
+            .doc("The kind of work that it does."),
         Field::optional(
             "model",
             FieldType::Name,
-            "\"service\" stands in its place",
+            "\"service\" is given instead",
             "\"quote-writer\"",
         )
         .doc("The model it serves."),
         Field::optional(
             "service",
             FieldType::Name,
-            "\"model\" stands in its place",
+            "\"model\" is given instead",
             "\"fitter-desk\"",
         )
         .doc("The service it serves."),
@@ -203,7 +203,7 @@
             "must be there for role prefill",
             "8000",
         )
-        .doc("Prompt tokens that it works through."),
+        .doc("Prompt tokens that it processes a second."),
         Field::optional(
             "link_bytes_per_s",
             FieldType::Integer { min: 1, max: MAX_BYTES },
@@ -212,11 +212,11 @@
         )
         .doc("Rate of its link, which KV cache transfers share."),
         Field::optional("fencing", FieldType::Bool, "false", "true")
-            .doc("It refuses orders whose fencing number is older than one it has taken."),
+            .doc("It refuses orders whose fencing number is older than one it has accepted."),
         Field::optional("orders", FieldType::Bool, "false", "true")
-            .doc("It takes orders to load a model or to change role."),
+            .doc("It accepts orders to load a model or to change role."),
         Field::optional("leaving", FieldType::Bool, "false", "true")
-            .doc("It is being taken away: no new work."),
+            .doc("It is being removed and gets no new requests."),
     ],
 };
 
@@ -224,7 +224,7 @@
 pub(super) const WEIGHT_STORE: ObjectSchema = ObjectSchema {
     noun: "weight store",
     fields: &[Field::required("bytes_per_s", FieldType::Integer { min: 1, max: MAX_BYTES }, "2e9")
-        .doc("What it gives to all endpoints together.")],
+        .doc("Its total rate for all endpoints.")],
 };
 
 /// Returns the type of a positive number up to `max`. Zero is excluded because it means "not
--- a/crates/basilbank_config/src/settings/schema.rs
+++ b/crates/basilbank_config/src/settings/schema.rs
@@ -13,15 +13,15 @@
     noun: "settings object",
     fields: &[
         Field::required("name", FieldType::Name, "\"entry-1\"")
-            .doc("The VM's name on the platform's list."),
+            .doc("The VM's name in the platform's list."),
         Field::required("data_centre", FieldType::Name, "\"hall-a\"")
             .doc("The data centre that the VM is in."),
         Field::required("callers", FieldType::Address, "\"10.0.0.1:8080\"")
-            .doc("Where callers connect."),
+            .doc("The address that callers connect to."),
         Field::required("peers", FieldType::Address, "\"10.0.0.1:7001\"")
-            .doc("Where other daemons are heard, by UDP and TCP."),
+            .doc("The address for messages from other daemons, over UDP and TCP."),
         Field::required("admin", FieldType::Address, "\"10.0.0.1:9090\"")
-            .doc("Where operators connect."),
+            .doc("The address that operators connect to."),
         Field::required("platform", FieldType::Text, "\"http://10.0.0.9:2379\"")
             .doc("Base URL of the platform's configuration service."),
         Field::required(
@@ -39,9 +39,9 @@
         Field::optional("limits", FieldType::Object(&LIMITS), "{}", "{ \"connections\": 2048 }")
             .doc("Limits of the callers' API."),
         Field::optional("log", FieldType::Object(&LOG), "{}", "{ \"level\": \"debug\" }")
-            .doc("Logs."),
+            .doc("Log level and destination."),
         Field::optional("tuning", FieldType::Object(&TUNING), "{}", "{ \"heartbeat_ms\": 500 }")
-            .doc("Constants of the decisions; all daemons of a fleet should have the same."),
+            .doc("Tuning constants; all daemons of a fleet should have the same values."),
     ],
 };
 
@@ -63,7 +63,7 @@
         )
         .doc("Largest headers of a request."),
         Field::optional("connections", FieldType::Integer { min: 1, max: 100_000 }, "1024", "2048")
-            .doc("Callers' connections at once."),
+            .doc("Maximum number of callers' connections."),
         Field::optional("header_timeout_ms", FieldType::millis(1), "5000", "2000")
             .doc("Time for a request's headers to arrive."),
         Field::optional("body_timeout_ms", FieldType::millis(1), "10000", "30000")
@@ -94,7 +94,7 @@
             "\"info\"",
             "\"debug\"",
         )
-        .doc("Least severity that is written."),
+        .doc("Minimum severity that is logged."),
         Field::optional("file", FieldType::Text, "standard error", "\"basilbankd.log\"")
             .doc("A file to append to."),
     ],
@@ -114,7 +114,7 @@
         Field::optional("slot_lease_ms", FieldType::millis(100), "6000", "8000")
             .doc("How long a slot is leased without renewal."),
         Field::optional("peer_timeout_ms", FieldType::millis(1), "50", "100")
-            .doc("Wait for a peer's answer before the message is sent again."),
+            .doc("Time to wait for a peer's answer before the message is sent again."),
         Field::optional("attempts", FieldType::Integer { min: 1, max: 100 }, "4", "3")
             .doc("Attempts of one request, the first included."),
         Field::optional("retry_ratio", FieldType::Number { min: 0.0, max: 1.0 }, "0.2", "0.1")
--- a/crates/basilbank_config/tests/settings_findings.rs
+++ b/crates/basilbank_config/tests/settings_findings.rs
@@ -84,10 +84,10 @@
 
 #[test_case("\"nme\": 1", "6:3", "the settings object has no field \"nme\"; did you mean \"name\"?"; "unknown field")]
 #[test_case("\"limits\": { \"body\": 1 }", "6:15", "did you mean"; "unknown limit")]
-#[test_case("\"limits\": { \"connections\": 0 }", "6:30", "can't be 0; write a whole number from 1"; "no connections")]
+#[test_case("\"limits\": { \"connections\": 0 }", "6:30", "can't be 0; write a whole number from 1"; "zero connections")]
 #[test_case("\"log\": { \"level\": \"loud\" }", "6:21", "one of error, warn, info, debug, trace"; "unknown level")]
-#[test_case("\"tuning\": { \"heartbeat_ms\": 2000 }", "6:13", "less than three heartbeats; write at least 6000"; "dead too soon")]
-#[test_case("\"tuning\": { \"backoff_ms\": 50, \"max_backoff_ms\": 20 }", "6:51", "less than \"backoff_ms\"; write at least 50"; "backoff")]
+#[test_case("\"tuning\": { \"heartbeat_ms\": 2000 }", "6:13", "less than three heartbeats; write at least 6000"; "dead after less than three heartbeats")]
+#[test_case("\"tuning\": { \"backoff_ms\": 50, \"max_backoff_ms\": 20 }", "6:51", "less than \"backoff_ms\"; write at least 50"; "maximum backoff below the first")]
 #[test_case("\"tuning\": 3", "6:13", "\"tuning\" is a number"; "not an object")]
 fn error_is_reported(more: &str, position: &str, expected: &str) {
     let findings = Settings::parse("s", &settings_text_with(more)).unwrap_err().to_string();
@@ -101,7 +101,7 @@
 #[test_case("http://10.0.0.9:2379/", "https://10.0.0.9:2379", "not a base URL"; "https")]
 #[test_case("http://10.0.0.9:2379/", "http://10.0.0.9:2379/x", "not a base URL"; "path")]
 #[test_case("fedcba9876543210", "short", "\"admin_key\" can't be this; write a text of at least 16"; "short key")]
-#[test_case("fedcba9876543210", "0123456789abcdef", "\"admin_key\" is the same as \"peer_key\""; "one key for two")]
+#[test_case("fedcba9876543210", "0123456789abcdef", "\"admin_key\" is the same as \"peer_key\""; "same key for admin and peers")]
 fn invalid_value_is_reported(valid: &str, invalid: &str, expected: &str) {
     let text = settings_text_with("").replace(valid, invalid);
     let findings = Settings::parse("s", &text).unwrap_err().to_string();
