--- a/crates/basilbank_config/src/diff/change.rs
+++ b/crates/basilbank_config/src/diff/change.rs
@@ -1,10 +1,10 @@
-//! One change and what follows from it.
+//! A change of a catalogue item and its consequence.
 
 use std::fmt;
 
-/// A kind of thing in the catalogue.
+/// Kind of a catalogue item.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub enum Item {
+pub enum ItemKind {
     /// A team.
     Team,
     /// A class of service.
@@ -17,99 +17,99 @@
     Entry,
     /// An endpoint.
     Endpoint,
-    /// The weight store, of which there is one.
+    /// The weight store; a catalogue has at most one.
     WeightStore,
 }
 
-impl Item {
-    /// What it is called.
+impl ItemKind {
+    /// Returns the name of the kind, for output.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Item::Team => "team",
-            Item::Class => "class",
-            Item::Model => "model",
-            Item::Service => "service",
-            Item::Entry => "entry",
-            Item::Endpoint => "endpoint",
-            Item::WeightStore => "weight store",
+            ItemKind::Team => "team",
+            ItemKind::Class => "class",
+            ItemKind::Model => "model",
+            ItemKind::Service => "service",
+            ItemKind::Entry => "entry",
+            ItemKind::Endpoint => "endpoint",
+            ItemKind::WeightStore => "weight store",
         }
     }
 }
 
-/// What happens to a thing.
+/// What happens to an item.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Step {
-    /// It is new.
+pub enum Action {
+    /// The item is new.
     Added,
-    /// It is gone.
+    /// The item is removed.
     Removed,
-    /// A field changes.
+    /// The value of a field changes.
     Changed {
-        /// The field, as in a document.
+        /// Name of the field in a document.
         field: &'static str,
-        /// The value before.
+        /// Previous value.
         old: String,
-        /// The value afterwards.
+        /// New value.
         new: String,
     },
 }
 
-/// What follows from a change.
+/// Consequence of a change for the running system.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Consequence {
     /// The endpoint takes no new work; requests in progress finish.
-    Drains,
+    EndpointDrains,
     /// The endpoint takes new work.
-    TakesWork,
-    /// The model's endpoints are to be changed to this.
-    Rolls {
-        /// The model.
+    EndpointTakesWork,
+    /// The endpoints of the model have to switch to another version or adapter.
+    ModelRollout {
+        /// Name of the model.
         model: String,
-        /// The version.
+        /// Version to switch to.
         version: String,
-        /// The adapter; empty for none.
+        /// Adapter to load; empty for none.
         adapter: String,
-        /// Endpoints that take orders.
-        ordered: usize,
-        /// Endpoints that don't: somebody has to change them.
+        /// Number of endpoints that accept orders and are switched by the router.
+        accepting_orders: usize,
+        /// Number of endpoints that don't accept orders and have to be switched by hand.
         manual: usize,
     },
-    /// A team is owed another share of a target.
-    Owed {
-        /// The team.
+    /// A team's guaranteed share of a target changes.
+    GuaranteedShareChanged {
+        /// Name of the team.
         team: String,
-        /// The target, with its kind.
+        /// Kind and name of the target.
         target: String,
-        /// The share before.
+        /// Previous share.
         old: f64,
-        /// The share afterwards.
+        /// New share.
         new: f64,
     },
     /// A team may use a target.
-    Access {
-        /// The team.
+    AccessGranted {
+        /// Name of the team.
         team: String,
-        /// The target, with its kind.
+        /// Kind and name of the target.
         target: String,
     },
-    /// A team's new calls to a target are refused.
-    NoAccess {
-        /// The team.
+    /// New calls of a team to a target are refused.
+    AccessRevoked {
+        /// Name of the team.
         team: String,
-        /// The target, with its kind.
+        /// Kind and name of the target.
         target: String,
     },
-    /// Keys come and go.
-    Keys {
-        /// Keys accepted from now on.
+    /// The accepted keys of a team change.
+    KeysChanged {
+        /// Number of keys that become valid.
         added: usize,
-        /// Keys no longer accepted.
+        /// Number of keys that become invalid.
         removed: usize,
     },
-    /// Entries whose promise changes.
-    Promise {
-        /// How many.
+    /// The service level that entries promise changes.
+    ServiceLevelChanged {
+        /// Number of entries.
         entries: usize,
     },
 }
@@ -117,63 +117,70 @@
 impl fmt::Display for Consequence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Consequence::Drains => write!(f, "endpoint drains"),
-            Consequence::TakesWork => write!(f, "endpoint takes new work"),
-            Consequence::Rolls { model, version, adapter, ordered, manual } => {
+            Consequence::EndpointDrains => write!(f, "endpoint drains"),
+            Consequence::EndpointTakesWork => write!(f, "endpoint takes new work"),
+            Consequence::ModelRollout { model, version, adapter, accepting_orders, manual } => {
                 write!(f, "model {model} rolls to version {version}")?;
                 if !adapter.is_empty() {
                     write!(f, " with adapter {adapter}")?;
                 }
-                write!(f, ": {ordered} endpoints by order, {manual} take no orders")
+                write!(f, ": {accepting_orders} endpoints by order, {manual} take no orders")
             }
-            Consequence::Owed { team, target, old, new } => {
+            Consequence::GuaranteedShareChanged { team, target, old, new } => {
                 write!(f, "owed share of {team} in {target} goes from {old} to {new}")
             }
-            Consequence::Access { team, target } => write!(f, "{team} may use {target}"),
-            Consequence::NoAccess { team, target } => {
+            Consequence::AccessGranted { team, target } => write!(f, "{team} may use {target}"),
+            Consequence::AccessRevoked { team, target } => {
                 write!(f, "new calls of {team} to {target} by this entry are refused")
             }
-            Consequence::Keys { added, removed } => {
+            Consequence::KeysChanged { added, removed } => {
                 write!(f, "{added} keys are accepted that weren't, {removed} no longer")
             }
-            Consequence::Promise { entries } => write!(f, "changes {entries} entries' promise"),
+            Consequence::ServiceLevelChanged { entries } => {
+                write!(f, "changes {entries} entries' promise")
+            }
         }
     }
 }
 
-/// One change.
+/// A change of one item, or of one field of an item.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Change {
-    /// What kind of thing.
-    pub item: Item,
-    /// Its name; empty for the weight store.
+    /// Kind of the item.
+    pub item_kind: ItemKind,
+    /// Name of the item; empty for the weight store.
     pub name: String,
-    /// What happens to it.
-    pub step: Step,
-    /// What follows.
+    /// What happens to the item.
+    pub action: Action,
+    /// Consequence for the running system, if any.
     pub consequence: Option<Consequence>,
 }
 
 impl Change {
-    /// A change of one thing.
+    /// Creates a change.
     #[must_use]
-    pub fn new(item: Item, name: &str, step: Step, consequence: Option<Consequence>) -> Change {
-        Change { item, name: name.to_owned(), step, consequence }
+    pub fn new(
+        item_kind: ItemKind,
+        name: &str,
+        action: Action,
+        consequence: Option<Consequence>,
+    ) -> Change {
+        Change { item_kind, name: name.to_owned(), action, consequence }
     }
 }
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let sign = match self.step {
-            Step::Added => '+',
-            Step::Removed => '-',
-            Step::Changed { .. } => '~',
+        let sign = match self.action {
+            Action::Added => '+',
+            Action::Removed => '-',
+            Action::Changed { .. } => '~',
         };
-        write!(f, "{sign} {}", self.item.as_str())?;
+        write!(f, "{sign} {}", self.item_kind.as_str())?;
         if !self.name.is_empty() {
             write!(f, " {}", self.name)?;
         }
-        if let Step::Changed { field, old, new } = &self.step {
+        if let Action::Changed { field, old, new } = &self.action {
             write!(f, ": {field} {old} -> {new}")?;
         }
         if let Some(consequence) = &self.consequence {
--- a/crates/basilbank_config/src/document.rs
+++ b/crates/basilbank_config/src/document.rs
@@ -1,16 +1,16 @@
-//! What a text is: settings, or a document of the catalogue.
+//! Distinguishes settings files from catalogue documents.
 
 use jsonc_parser::ast::Object;
 
 use crate::{
     catalogue::CATALOGUE,
     report::{Report, Source},
-    schema::Section,
+    schema::ObjectSchema,
     settings::SETTINGS,
     syntax,
 };
 
-/// What a text is.
+/// Kind of a configuration text.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum TextKind {
     /// A daemon's settings.
@@ -20,20 +20,20 @@
 }
 
 impl TextKind {
-    /// What a text is, by the names of its fields. A text that can't be read counts as a document
-    /// of the catalogue; it is rejected as either.
+    /// Detects the kind of a text from the names of its fields. A text that can't be parsed counts
+    /// as a catalogue document; it is rejected as either kind.
     #[must_use]
-    pub fn of(text: &str) -> TextKind {
+    pub fn detect(text: &str) -> TextKind {
         let mut report = Report::new(vec![Source { name: "", text }]);
-        let Some(root) = syntax::root(&mut report, 0) else { return TextKind::Catalogue };
-        if known(&CATALOGUE, &root) < known(&SETTINGS, &root) {
+        let Some(root) = syntax::parse_root(&mut report, 0) else { return TextKind::Catalogue };
+        if count_known_fields(&CATALOGUE, &root) < count_known_fields(&SETTINGS, &root) {
             TextKind::Settings
         } else {
             TextKind::Catalogue
         }
     }
 
-    /// The stable name.
+    /// Returns the stable name of the kind, for output.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -43,6 +43,7 @@
     }
 }
 
-fn known(section: &Section, root: &Object<'_>) -> usize {
-    root.properties.iter().filter(|p| section.field(p.name.as_str()).is_some()).count()
+/// Returns how many fields of an object the schema defines.
+fn count_known_fields(schema: &ObjectSchema, root: &Object<'_>) -> usize {
+    root.properties.iter().filter(|p| schema.field(p.name.as_str()).is_some()).count()
 }
--- a/crates/basilbank_config/src/schema.rs
+++ b/crates/basilbank_config/src/schema.rs
@@ -1,65 +1,66 @@
-//! Which fields there are, and what each may hold. The reader and the operators' reference both go
-//! by these tables.
+//! Schemas of JSON objects. Both the reader and the field reference for operators are derived from
+//! them.
 
-/// The fields of one kind of object.
+/// Schema of one kind of JSON object.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Section {
-    /// What one such object is called in findings, for example `team`.
+pub struct ObjectSchema {
+    /// What findings call such an object, for example `team`.
     pub noun: &'static str,
-    /// Its fields.
+    /// Fields that the object may have.
     pub fields: &'static [Field],
 }
 
-/// One field.
+/// Schema of one field.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Field {
-    /// Its name; a unit is part of it.
+    /// Name of the field, including its unit.
     pub name: &'static str,
-    /// Whether it may be left out.
-    pub need: Need,
-    /// What it may hold.
-    pub kind: Kind,
-    /// A value that it may have, as JSON.
+    /// Whether the field is required.
+    pub presence: Presence,
+    /// Values that the field accepts.
+    pub field_type: FieldType,
+    /// Example of a valid value, as JSON.
     pub example: &'static str,
-    /// What it is for.
+    /// Description for the reference.
     pub doc: &'static str,
 }
 
-/// Whether a field may be left out.
+/// Whether a field is required or optional.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Need {
-    /// It must be there.
+pub enum Presence {
+    /// The field must be given.
     Required,
-    /// It may be left out. The text says what holds then: a JSON value, or words.
+    /// The field may be omitted. The text gives the default: a JSON value, or a description.
     Optional(&'static str),
 }
 
-/// What a field may hold.
+/// Type and range of a field's value.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Kind {
-    /// Letters, digits, `.`, `_` and `-`: at most 100, the first a letter or digit.
+pub enum FieldType {
+    /// A name of at most 100 ASCII letters, digits, `.`, `_` and `-` that starts with a letter or
+    /// digit.
     Name,
-    /// Text without control characters.
+    /// A text that is not empty and has no control characters.
     Text,
-    /// Text that findings don't repeat.
+    /// A text that findings don't show, such as a key.
     Secret {
-        /// Least characters.
+        /// Minimum length in characters.
         min: usize,
     },
-    /// An IP number and a port.
+    /// An IP address with a port.
     Address,
     /// One of these texts.
     Choice(&'static [&'static str]),
     /// `true` or `false`.
-    Flag,
-    /// A whole number; 5e9 is one.
-    Whole {
+    Bool,
+    /// An integer, which may also be written in exponent notation such as 5e9.
+    Integer {
         /// Smallest value.
         min: u64,
         /// Largest value.
         max: u64,
     },
-    /// A number.
+    /// A finite number.
     Number {
         /// Smallest value.
         min: f64,
@@ -67,46 +68,48 @@
         max: f64,
     },
     /// A list of texts.
-    Texts,
+    TextList,
     /// An object.
-    Object(&'static Section),
+    Object(&'static ObjectSchema),
     /// A list of objects.
-    Objects(&'static Section),
+    ObjectList(&'static ObjectSchema),
 }
 
-impl Section {
-    /// The field of a name.
+impl ObjectSchema {
+    /// Returns the field with this name.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&'static Field> {
         self.fields.iter().find(|f| f.name == name)
     }
 
-    /// The fields as a Markdown table, for the operators' reference.
+    /// Returns the fields as a Markdown table, for the operators' reference.
     #[must_use]
-    pub fn table(&self) -> String {
+    pub fn markdown_table(&self) -> String {
         let mut table =
             "| field | holds | when left out | |\n| --- | --- | --- | --- |\n".to_owned();
-        for Field { name, need, kind, doc, .. } in self.fields {
-            let default = match need {
-                Need::Required => "must be there",
-                Need::Optional(default) => default,
+        for Field { name, presence, field_type, doc, .. } in self.fields {
+            let default = match presence {
+                Presence::Required => "must be there",
+                Presence::Optional(default) => default,
             };
-            let holds = kind.describe();
-            table.push_str(&format!("| `{name}` | {holds} | {default} | {doc} |\n"));
+            let value_text = field_type.describe();
+            table.push_str(&format!("| `{name}` | {value_text} | {default} | {doc} |\n"));
         }
         table
     }
 
-    /// This section and those within it, each with the path of fields that leads to it.
+    /// Returns this schema and all nested ones, each with the dotted path of fields that leads to
+    /// it.
     #[must_use]
-    pub fn walk(&'static self) -> Vec<(String, &'static Section)> {
+    pub fn with_nested(&'static self) -> Vec<(String, &'static ObjectSchema)> {
         let mut all = vec![(String::new(), self)];
         let mut next = 0;
-        while let Some((path, section)) = all.get(next).cloned() {
-            for field in section.fields {
-                if let Kind::Object(inner) | Kind::Objects(inner) = field.kind {
+        while let Some((path, schema)) = all.get(next).cloned() {
+            for field in schema.fields {
+                if let FieldType::Object(nested) | FieldType::ObjectList(nested) = field.field_type
+                {
                     let dot = if path.is_empty() { "" } else { "." };
-                    all.push((format!("{path}{dot}{}", field.name), inner));
+                    all.push((format!("{path}{dot}{}", field.name), nested));
                 }
             }
             next += 1;
@@ -116,48 +119,52 @@
 }
 
 impl Field {
-    /// A field that must be there.
-    pub(crate) const fn required(name: &'static str, kind: Kind, example: &'static str) -> Field {
-        Field { name, need: Need::Required, kind, example, doc: "" }
+    /// Creates a required field.
+    pub(crate) const fn required(
+        name: &'static str,
+        field_type: FieldType,
+        example: &'static str,
+    ) -> Field {
+        Field { name, presence: Presence::Required, field_type, example, doc: "" }
     }
 
-    /// A field that may be left out.
+    /// Creates an optional field.
     pub(crate) const fn optional(
         name: &'static str,
-        kind: Kind,
+        field_type: FieldType,
         default: &'static str,
         example: &'static str,
     ) -> Field {
-        Field { name, need: Need::Optional(default), kind, example, doc: "" }
+        Field { name, presence: Presence::Optional(default), field_type, example, doc: "" }
     }
 
-    /// Says what it is for.
+    /// Sets the field's description.
     pub(crate) const fn doc(self, doc: &'static str) -> Field {
         Field { doc, ..self }
     }
 }
 
-impl Kind {
-    /// Milliseconds from `min` to an hour.
-    pub(crate) const fn millis(min: u64) -> Kind {
-        Kind::Whole { min, max: 3_600_000 }
+impl FieldType {
+    /// Returns the type of a duration in milliseconds, from `min` to one hour.
+    pub(crate) const fn millis(min: u64) -> FieldType {
+        FieldType::Integer { min, max: 3_600_000 }
     }
 
-    /// What it holds, in words.
+    /// Describes the accepted values, for messages and the reference.
     #[must_use]
     pub fn describe(&self) -> String {
         match self {
-            Kind::Name => "a name of letters, digits, '.', '_' and '-'".to_owned(),
-            Kind::Text => "a text".to_owned(),
-            Kind::Secret { min } => format!("a text of at least {min} characters"),
-            Kind::Address => "an IP number with a port".to_owned(),
-            Kind::Choice(all) => format!("one of {}", all.join(", ")),
-            Kind::Flag => "true or false".to_owned(),
-            Kind::Whole { min, max } => format!("a whole number from {min} to {max}"),
-            Kind::Number { min, max } => format!("a number from {min} to {max}"),
-            Kind::Texts => "a list of texts".to_owned(),
-            Kind::Object(section) => format!("an object ({})", section.noun),
-            Kind::Objects(section) => format!("a list of objects ({})", section.noun),
+            FieldType::Name => "a name of letters, digits, '.', '_' and '-'".to_owned(),
+            FieldType::Text => "a text".to_owned(),
+            FieldType::Secret { min } => format!("a text of at least {min} characters"),
+            FieldType::Address => "an IP number with a port".to_owned(),
+            FieldType::Choice(all) => format!("one of {}", all.join(", ")),
+            FieldType::Bool => "true or false".to_owned(),
+            FieldType::Integer { min, max } => format!("a whole number from {min} to {max}"),
+            FieldType::Number { min, max } => format!("a number from {min} to {max}"),
+            FieldType::TextList => "a list of texts".to_owned(),
+            FieldType::Object(schema) => format!("an object ({})", schema.noun),
+            FieldType::ObjectList(schema) => format!("a list of objects ({})", schema.noun),
         }
     }
 }
--- a/crates/basilbank_config/tests/operators_page.rs
+++ b/crates/basilbank_config/tests/operators_page.rs
@@ -1,14 +1,14 @@
-//! The operators' page: its examples are sound, and its tables are the ones that the reader goes by.
+//! Tests that the examples in `docs/OPERATORS.md` are valid and that its tables match the schemas.
 
 use basilbank_config::{
-    CATALOGUE, Document, SETTINGS, Section, Settings, TextKind, check_catalogue,
+    CATALOGUE, Document, ObjectSchema, SETTINGS, Settings, TextKind, check_catalogue,
 };
 use test_case::test_case;
 
 const PAGE: &str = include_str!("../../../docs/OPERATORS.md");
 
-/// The fenced blocks of JSON with comments.
-fn blocks() -> Vec<&'static str> {
+/// Returns the fenced code blocks with JSON with comments.
+fn jsonc_blocks() -> Vec<&'static str> {
     let parts = PAGE.split("```jsonc\n").skip(1);
     parts.map(|part| part.split("```").next().unwrap()).collect()
 }
@@ -23,14 +23,15 @@
     check_catalogue(1, &documents).findings.to_string()
 }
 
-/// The first block is a whole catalogue, the others are documents beside it, or settings.
+/// The first block is a full catalogue. Each of the others is a settings file or a document that is
+/// valid together with the first block.
 #[test]
-fn examples_are_sound() {
-    let blocks = blocks();
+fn examples_have_no_errors() {
+    let blocks = jsonc_blocks();
     assert!(3 < blocks.len());
     assert_eq!(findings(&blocks[..1]), "");
     for block in &blocks[1..] {
-        match TextKind::of(block) {
+        match TextKind::detect(block) {
             TextKind::Catalogue => assert_eq!(findings(&[blocks[0], block]), "", "{block}"),
             TextKind::Settings => {
                 let parsed = Settings::parse("block", block);
@@ -42,9 +43,9 @@
 
 #[test_case(&CATALOGUE; "catalogue")]
 #[test_case(&SETTINGS; "settings")]
-fn tables_are_the_readers(section: &'static Section) {
-    for (path, section) in section.walk() {
-        let table = section.table();
+fn tables_match_the_schema(schema: &'static ObjectSchema) {
+    for (path, schema) in schema.with_nested() {
+        let table = schema.markdown_table();
         assert!(PAGE.contains(&table), "{path}: run the example `reference`\n{table}");
     }
 }
--- a/crates/basilbank_core/src/reduce/admit.rs
+++ b/crates/basilbank_core/src/reduce/admit.rs
@@ -39,7 +39,7 @@
     let (id, caller) = (request.id, request.caller);
     // A request with a cursor reads an existing stream and runs nothing, so there is no idempotency
     // key to claim.
-    let is_resumed = request.completion.as_ref().is_some_and(|d| d.resume.is_some());
+    let is_resumed = request.completion.as_ref().is_some_and(|c| c.resume.is_some());
     let has_idempotency_key = request.idempotency_key.is_some() && !is_resumed;
     let key = state.requests.insert(request);
     out.push(Effect::Progress(Progress::Accepted { request: id, team, entry }));
@@ -142,7 +142,7 @@
     let entry_record = state.view.entry(entry);
     if let Some(class) = entry_record.and_then(|e| state.view.class(e.class)) {
         request.due = now.mono + class.ttft;
-        request.wait_deadline = request.due + class.wait;
+        request.wait_deadline = request.due + class.max_wait;
     }
     request.repeatable = call.repeatable.unwrap_or_else(|| match &call.kind {
         CallKind::Completion(_) => true,
@@ -160,6 +160,6 @@
 }
 
 fn is_repeatable(plain: &PlainCall, service: Option<&Service>) -> bool {
-    let is_listed = service.is_some_and(|s| s.repeatable.contains(&plain.method));
+    let is_listed = service.is_some_and(|s| s.repeatable_methods.contains(&plain.method));
     is_listed || SAFE_METHODS.contains(&plain.method.as_str())
 }
--- a/crates/basilbank_core/src/reduce/catalogue/peers.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/peers.rs
@@ -1,4 +1,4 @@
-//! Peers show, ask for and send documents and VM lists.
+//! Exchanges documents and VM lists with peers.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
     time::Now,
 };
 
-/// Without an answer for this long another peer is asked.
+/// Time after which an unanswered fetch is sent to another peer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Whole catalogues that a daemon sends to peers in one second; others ask elsewhere.
+/// Full catalogues that a daemon sends to peers per second; other peers fetch elsewhere.
 const MAX_FULL_TRANSFERS_PER_SECOND: u32 = 4;
 
-/// A peer's heartbeat shows what it has.
+/// Records the revisions that a peer's heartbeat advertises, and fetches newer ones.
 pub fn on_heartbeat(
     state: &mut State,
     now: Now,
@@ -25,24 +25,24 @@
     heartbeat: &Heartbeat,
     out: &mut Vec<Effect>,
 ) {
-    let shown = AdvertisedRevisions::from_heartbeat(from, heartbeat);
-    state.documents.advertised.merge(&shown);
+    let advertised = AdvertisedRevisions::from_heartbeat(from, heartbeat);
+    state.documents.advertised.merge(&advertised);
     if 0 < heartbeat.confirmed {
         let age = Duration::from_millis(u64::from(heartbeat.confirmed));
         let at = now.mono.saturating_sub(age);
         state.documents.confirmed_at = state.documents.confirmed_at.max(Some(at));
     }
-    fetch_missing(state, now, &shown, out);
+    fetch_missing(state, now, &advertised, out);
     freshness::update(state, now, out);
 }
 
-/// Asks again for what was not answered.
+/// Repeats fetches that were not answered.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    let shown = state.documents.advertised;
-    fetch_missing(state, now, &shown, out);
+    let advertised = state.documents.advertised;
+    fetch_missing(state, now, &advertised, out);
 }
 
-/// A peer asks for documents.
+/// Sends documents that a peer asks for.
 pub fn on_fetch_catalogue(
     state: &mut State,
     now: Now,
@@ -70,7 +70,7 @@
     send(out, from, Body::Catalogue(delta));
 }
 
-/// A peer sent documents.
+/// Applies documents that a peer sent.
 pub fn on_catalogue_delta(
     state: &mut State,
     now: Now,
@@ -100,22 +100,27 @@
     out.push(Effect::CheckCatalogue { revision, documents });
 }
 
-/// A peer asks for the VM list.
+/// Sends the VM list to a peer that asks for it.
 pub fn on_fetch_vms(state: &State, from: VmId, fetch: &FetchVms, out: &mut Vec<Effect>) {
     if fetch.after < state.documents.vms.revision {
         send(out, from, Body::Vms(state.documents.vms.clone()));
     }
 }
 
-/// A peer sent the VM list.
+/// Applies the VM list that a peer sent.
 pub fn on_peer_vms(state: &mut State, now: Now, list: VmList, out: &mut Vec<Effect>) {
     state.documents.vms_fetch.asked_at = None;
     apply_vm_list(state, now, list, out);
 }
 
-fn fetch_missing(state: &mut State, now: Now, shown: &AdvertisedRevisions, out: &mut Vec<Effect>) {
-    fetch_vms(state, now, shown.vms, out);
-    fetch_documents(state, now, shown, out);
+fn fetch_missing(
+    state: &mut State,
+    now: Now,
+    advertised: &AdvertisedRevisions,
+    out: &mut Vec<Effect>,
+) {
+    fetch_vms(state, now, advertised.vms, out);
+    fetch_documents(state, now, advertised, out);
 }
 
 fn fetch_vms(state: &mut State, now: Now, offer: AdvertisedRevision, out: &mut Vec<Effect>) {
@@ -128,12 +133,13 @@
     send(out, offer.from, Body::FetchVms(FetchVms { after }));
 }
 
-/// Asks for newer documents; when the newest are known and were rejected here, for those that are
-/// in force elsewhere. Two daemons that skipped different revisions of a burst agree by that.
+/// Fetches newer documents. If the newest ones are known and were rejected here, it fetches those
+/// that are in force at a peer. This way two daemons that skipped different revisions of a burst
+/// end up with the same catalogue.
 fn fetch_documents(
     state: &mut State,
     now: Now,
-    shown: &AdvertisedRevisions,
+    advertised: &AdvertisedRevisions,
     out: &mut Vec<Effect>,
 ) {
     let documents = &mut state.documents;
@@ -142,7 +148,7 @@
     }
     let known = documents.store.revision;
     let in_force = state.view.catalogue.revision;
-    let (newest, accepted) = (shown.documents, shown.catalogue);
+    let (newest, accepted) = (advertised.documents, advertised.catalogue);
     let is_disputed = accepted.revision <= documents.accepted.disputed_revision;
     let is_checked =
         documents.accepted.check.is_none() && documents.accepted.checked_revision == known;
--- a/crates/basilbank_core/src/reduce/member.rs
+++ b/crates/basilbank_core/src/reduce/member.rs
@@ -1,11 +1,11 @@
-//! Who is alive: heartbeats, pauses, isolation.
+//! Tracks which members are alive: heartbeats, pauses of this process, and isolation.
 
 mod gossip;
 mod summary;
 
 use std::time::Duration;
 
-use basilbank_wire::{Heartbeat, Seen};
+use basilbank_wire::{Heartbeat, MemberRecord};
 
 pub use self::gossip::push;
 use crate::{
@@ -16,12 +16,12 @@
     time::Now,
 };
 
-/// After a pause, news counts from this many heartbeats on: packets that arrived during the pause
-/// and waited in the socket are read within less.
+/// Heartbeat intervals after a pause from which messages count. Packets that arrived during the
+/// pause and waited in the socket are read within less time.
 const SETTLE_HEARTBEATS: u32 = 2;
 
-/// Looks for a pause of this process; comes before each event, since the first thing that a process
-/// reads after a pause may be a request for a slot that is another steward's by now.
+/// Detects a pause of this process. This is called before each event, because the first event that
+/// a process reads after a pause may be a request for a slot that another daemon owns by now.
 pub fn detect_pause(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let gap = now.mono.saturating_sub(state.members.own_status.last_event);
     state.members.own_status.last_event = now.mono;
@@ -39,8 +39,8 @@
     catalogue::on_pause(state, now, out);
 }
 
-/// Takes in that a message came from a peer, and says whether it is current. A message of an
-/// incarnation that was followed by another is from a process that is gone.
+/// Records that a message came from a peer, and returns whether it is current. A message of an
+/// incarnation that was followed by another one comes from a process that is gone.
 pub fn accept_sender(
     state: &mut State,
     now: Now,
@@ -61,7 +61,7 @@
     true
 }
 
-/// A peer's heartbeat.
+/// Handles a peer's heartbeat.
 pub fn on_heartbeat(
     state: &mut State,
     now: Now,
@@ -70,18 +70,18 @@
     out: &mut Vec<Effect>,
 ) {
     let epoch = state.members.epoch;
-    let rumours = gossip::rumour_rounds(&state.members);
+    let record_sends = gossip::record_sends_per_change(&state.members);
     state.members.has_heartbeat = true;
     if let Some(member) = state.members.all.get_mut(&from) {
         member.heartbeat_counter = member.heartbeat_counter.max(heartbeat.counter);
         if heartbeat.leaving && !member.announced_leaving {
             member.announced_leaving = true;
-            member.record_sends = rumours;
+            member.record_sends = record_sends;
             state.members.refresh();
         }
     }
-    for seen in &heartbeat.seen {
-        apply_record(state, now, seen, out);
+    for record in &heartbeat.seen {
+        apply_record(state, now, record, out);
     }
     let dead_after = state.local.tuning.dead_after;
     for vm in summary::apply(&mut state.members, &heartbeat.beats, now.mono, dead_after) {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Sends heartbeats, and looks for dead members.
+/// Sends heartbeats and looks for dead members.
 pub fn tick(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     state.timers.set(now.mono + state.local.tuning.heartbeat, Timer::Heartbeat);
     let epoch = state.members.epoch;
@@ -106,15 +106,15 @@
     gossip::send_heartbeats(state, now, out);
 }
 
-/// The VM list changed.
+/// Handles a change of the VM list.
 pub fn on_vm_list(state: &mut State, now: Now, out: &mut Vec<Effect>) {
-    claim::update_tenure(state, now);
+    claim::update_voter_history(state, now);
     update_may_decide(state, now, out);
     slots::on_members_changed(state, now, out);
     push(state, now, out);
 }
 
-/// This daemon is shutting down: it gives its stewardships up and says so at once.
+/// Gives up what this daemon owns because it is shutting down, and announces it at once.
 pub fn announce_leaving(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     if let Some(own) = state.members.all.get_mut(&state.local.vm) {
         own.announced_leaving = true;
@@ -125,35 +125,35 @@
     push(state, now, out);
 }
 
-/// A peer tells what it knows of a member that it has heard of lately.
-fn apply_record(state: &mut State, now: Now, seen: &Seen, out: &mut Vec<Effect>) {
-    let vm = VmId(seen.vm);
+/// Applies a peer's record of a member that the peer has been in contact with.
+fn apply_record(state: &mut State, now: Now, record: &MemberRecord, out: &mut Vec<Effect>) {
+    let vm = VmId(record.vm);
     if vm == state.local.vm {
-        check_superseded(state, seen, out);
+        check_superseded(state, record, out);
         return;
     }
-    let rumours = gossip::rumour_rounds(&state.members);
+    let record_sends = gossip::record_sends_per_change(&state.members);
     let Some(member) = state.members.all.get(&vm) else { return };
-    let is_new_incarnation = member.incarnation < seen.incarnation;
+    let is_new_incarnation = member.incarnation < record.incarnation;
     let is_newer =
-        seen.incarnation == member.incarnation && member.heartbeat_counter < seen.counter;
+        record.incarnation == member.incarnation && member.heartbeat_counter < record.counter;
     if is_new_incarnation || is_newer {
-        let last_seen = now.mono.saturating_sub(Duration::from_millis(u64::from(seen.age)));
-        record_contact(state, last_seen, vm, seen.incarnation, out);
+        let last_seen = now.mono.saturating_sub(Duration::from_millis(u64::from(record.age)));
+        record_contact(state, last_seen, vm, record.incarnation, out);
     }
     let Some(member) = state.members.all.get_mut(&vm) else { return };
-    if member.incarnation != seen.incarnation {
+    if member.incarnation != record.incarnation {
         return;
     }
-    member.heartbeat_counter = member.heartbeat_counter.max(seen.counter);
-    if seen.leaving && !member.announced_leaving {
+    member.heartbeat_counter = member.heartbeat_counter.max(record.counter);
+    if record.leaving && !member.announced_leaving {
         member.announced_leaving = true;
-        member.record_sends = rumours;
+        member.record_sends = record_sends;
         state.members.refresh();
     }
 }
 
-/// There is news of a member, of an incarnation that is current.
+/// Records that a member of a current incarnation was alive at `last_seen`.
 fn record_contact(
     state: &mut State,
     last_seen: Duration,
@@ -161,7 +161,7 @@
     incarnation: u64,
     out: &mut Vec<Effect>,
 ) {
-    let rumours = gossip::rumour_rounds(&state.members);
+    let record_sends = gossip::record_sends_per_change(&state.members);
     let Some(member) = state.members.all.get_mut(&vm) else { return };
     member.last_seen = member.last_seen.max(Some(last_seen));
     let former = member.incarnation;
@@ -172,7 +172,7 @@
         member.is_mismatched = false;
     }
     if former != 0 && former < incarnation {
-        member.record_sends = rumours;
+        member.record_sends = record_sends;
     }
     if !member.live {
         mark_live(state, vm, out);
@@ -195,21 +195,21 @@
     let mut any_dead = false;
     for (vm, member) in state.members.all.iter_mut().filter(|(vm, m)| m.live && **vm != own) {
         let silence =
-            member.last_seen.map_or(Duration::MAX, |heard| now.mono.saturating_sub(heard));
+            member.last_seen.map_or(Duration::MAX, |last_seen| now.mono.saturating_sub(last_seen));
         if silence <= timeout {
             continue;
         }
         member.live = false;
         any_dead = true;
-        let pairs = vec![("vm", vm.to_string()), ("silent_ms", silence.as_millis().to_string())];
-        note(out, "member_dead", pairs);
+        let fields = vec![("vm", vm.to_string()), ("silent_ms", silence.as_millis().to_string())];
+        note(out, "member_dead", fields);
     }
     if any_dead {
         state.members.refresh();
     }
 }
 
-/// Passes on that the live members changed, if they did.
+/// Updates what depends on the live members if they changed.
 fn propagate_changes(state: &mut State, epoch: u64, now: Now, out: &mut Vec<Effect>) {
     if state.members.epoch == epoch {
         return;
@@ -218,40 +218,41 @@
     update_may_decide(state, now, out);
 }
 
-/// Judges anew whether this daemon may decide.
+/// Updates whether this daemon may decide for others.
 fn update_may_decide(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let could_decide = state.members.may_decide();
     if let Some(from) = state.members.own_status.rejoining_since {
-        let census =
-            state.members.count_members(|m| m.last_seen.is_some_and(|heard| from <= heard));
-        if !state.members.own_status.has_list || census.is_minority() {
+        let members =
+            state.members.count_members(|m| m.last_seen.is_some_and(|last_seen| from <= last_seen));
+        if !state.members.own_status.has_list || members.is_minority() {
             return;
         }
         state.members.own_status.rejoining_since = None;
     }
-    let census = state.members.count_members(|m| m.live);
-    let is_isolated = census.is_minority();
+    let members = state.members.count_members(|m| m.live);
+    let is_isolated = members.is_minority();
     if is_isolated != state.members.own_status.is_isolated {
         state.members.own_status.is_isolated = is_isolated;
-        let pairs =
-            vec![("live", census.in_contact.to_string()), ("listed", census.total.to_string())];
-        note(out, if is_isolated { "isolated" } else { "rejoined" }, pairs);
+        let fields =
+            vec![("live", members.in_contact.to_string()), ("listed", members.total.to_string())];
+        note(out, if is_isolated { "isolated" } else { "rejoined" }, fields);
     }
     if !could_decide && state.members.may_decide() {
         state.members.own_status.deciding_since = now.mono;
-        note(out, "recovered", vec![("live", census.in_contact.to_string())]);
+        note(out, "recovered", vec![("live", members.in_contact.to_string())]);
         slots::on_members_changed(state, now, out);
     }
 }
 
-/// Peers know a higher incarnation of this VM: another process has its name, or the VM's clock went
-/// back across a restart. Peers drop all that this daemon says; only an operator can mend it.
-fn check_superseded(state: &State, seen: &Seen, out: &mut Vec<Effect>) {
-    if state.local.incarnation < seen.incarnation {
-        note(out, "incarnation_superseded", vec![("incarnation", seen.incarnation.to_string())]);
+/// Reports that peers know a higher incarnation of this VM: another process has its name, or the
+/// VM's clock went back across a restart. Peers drop all messages of this daemon; only an operator
+/// can repair it.
+fn check_superseded(state: &State, record: &MemberRecord, out: &mut Vec<Effect>) {
+    if state.local.incarnation < record.incarnation {
+        note(out, "incarnation_superseded", vec![("incarnation", record.incarnation.to_string())]);
     }
 }
 
-fn note(out: &mut Vec<Effect>, name: &'static str, pairs: Vec<(&'static str, String)>) {
-    out.push(Effect::Progress(Progress::Note { name, fields: pairs }));
+fn note(out: &mut Vec<Effect>, name: &'static str, fields: Vec<(&'static str, String)>) {
+    out.push(Effect::Progress(Progress::Note { name, fields }));
 }
--- a/crates/basilbank_core/src/reduce/waste.rs
+++ b/crates/basilbank_core/src/reduce/waste.rs
@@ -14,30 +14,30 @@
 pub fn record_prefill(
     state: &State,
     now: Now,
-    attempt: AttemptKey,
+    attempt_key: AttemptKey,
     waste: Waste,
     out: &mut Vec<Effect>,
 ) {
-    let Some(found) = state.requests.attempts.get(attempt) else { return };
-    let prefill = match found.stage {
-        AttemptStage::Prefill => now.mono.saturating_sub(found.stage_since),
+    let Some(attempt) = state.requests.attempts.get(attempt_key) else { return };
+    let prefill_time = match attempt.stage {
+        AttemptStage::Prefill => now.mono.saturating_sub(attempt.stage_since),
         AttemptStage::Relocating | AttemptStage::Import | AttemptStage::Stream => {
-            found.prefill_time
+            attempt.prefill_time
         }
         AttemptStage::WaitingForSlot | AttemptStage::WaitingForPrefill | AttemptStage::Plain => {
             Duration::ZERO
         }
     };
-    if prefill.is_zero() {
+    if prefill_time.is_zero() {
         return;
     }
-    let request = state.requests.arena[found.request].id;
-    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens: 0 }));
+    let request = state.requests.arena[attempt.request].id;
+    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill_time, tokens: 0 }));
 }
 
 /// Records tokens that the caller had already received.
 pub fn record_duplicates(request: RequestId, tokens: u32, out: &mut Vec<Effect>) {
     let waste = Waste::Duplicate;
-    let prefill = Duration::ZERO;
-    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill, tokens }));
+    let prefill_time = Duration::ZERO;
+    out.push(Effect::Progress(Progress::Wasted { request, waste, prefill_time, tokens }));
 }
--- a/crates/basilbank_forward/src/event.rs
+++ b/crates/basilbank_forward/src/event.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use basilbank_wire::LoadBeat;
+use basilbank_wire::LoadGossip;
 
 use crate::{
     call::{Call, RequestId},
@@ -61,7 +61,7 @@
         removed: Vec<String>,
     },
     /// The list of endpoints could not be read.
-    StoreLost,
+    EndpointsReadFailed,
     /// The store has no change of a topic with this revision, although a peer reported it.
     RevisionNotFound {
         /// The topic.
@@ -95,7 +95,7 @@
         /// The peer's address.
         from: SocketAddr,
         /// The datagram's content.
-        gossip: Box<LoadBeat>,
+        gossip: Box<LoadGossip>,
     },
     /// The settings determine whether this daemon orders endpoints to change their stage.
     OrderRight(OrderRight),
@@ -109,7 +109,7 @@
 impl Event {
     /// Creates an event for a datagram of a peer.
     #[must_use]
-    pub fn gossip(from: SocketAddr, gossip: LoadBeat) -> Event {
+    pub fn gossip(from: SocketAddr, gossip: LoadGossip) -> Event {
         Event::Gossip { from, gossip: Box::new(gossip) }
     }
 }
@@ -165,7 +165,7 @@
     /// The connection broke after something was sent, or the answer was damaged.
     Broken(Damage),
     /// No answer came within the answer timeout.
-    Silent,
+    TimedOut,
 }
 
 impl Outcome {
@@ -183,12 +183,12 @@
             Outcome::NotRun(NotRun::Other { .. }) => "not_run",
             Outcome::Unreachable => "unreachable",
             Outcome::Broken(_) => "broken",
-            Outcome::Silent => "silent",
+            Outcome::TimedOut => "silent",
         }
     }
 }
 
-/// How an answer was damaged.
+/// How an answer was damaged. The gateway's logs contain the variants' names as `Debug` prints them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Damage {
     /// The connection ended before the answer's header.
--- a/crates/basilbank_forward/src/prelude.rs
+++ b/crates/basilbank_forward/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types.
+//! Re-exports of the types that most users of this crate need.
 
 pub use basilbank_core::time::{Clock, Now};
 
@@ -11,8 +11,8 @@
     reading::{Around, Came, Query, ReadEffect, ReadEvent, ReadId, Readers, Scope, Why},
     reason::{Refusal, Retry},
     reduce::reduce,
-    route::{Kind, Route, RouteTable, Service},
-    state::{Local, OrderRight, Share, Start, State},
+    route::{Route, RouteKind, RouteTable, Service},
+    state::{Local, OrderRight, State, SystemStart, Usage},
     team::{Credential, KeyHash, Quota, QuotaUnit, Team, TeamId, Teams},
     topic::{PerTopic, Revision, Revisions, Topic},
     tuning::Tuning,
--- a/crates/basilbank_forward/src/state.rs
+++ b/crates/basilbank_forward/src/state.rs
@@ -1,26 +1,26 @@
 //! What a daemon knows about forwarded calls.
 
-pub mod budget;
 pub mod call_limits;
-pub mod counters;
+pub mod completion_queue;
 pub mod crashes;
 pub mod directory;
-pub mod elect;
 pub mod endpoint;
-pub mod entries;
+pub mod endpoint_records;
 pub mod freshness;
-pub mod grants;
-pub mod line;
+pub mod generation;
 pub mod local;
-pub mod pace;
+pub mod owned_quotas;
+pub mod owner;
 pub mod peers;
-pub mod permits;
+pub mod permit_holder;
+pub mod permit_issuer;
 pub mod quarantine;
 pub mod quotas;
 pub mod requests;
+pub mod retry_budget;
 pub mod roles;
-pub mod share;
 pub mod suspects;
+pub mod usage;
 pub mod watchers;
 
 use std::{
@@ -32,27 +32,27 @@
 use basilbank_core::state::Rng;
 
 pub use self::{
-    budget::Budget,
     call_limits::CallLimits,
-    counters::Counters,
+    completion_queue::{CompletionQueue, QueuePosition},
     crashes::Crashes,
     directory::Directory,
     endpoint::Endpoint,
-    entries::Entries,
+    endpoint_records::EndpointRecords,
     freshness::Freshness,
-    grants::Grants,
-    line::{Line, Place},
-    local::{Leaving, Local, Start},
-    pace::Pace,
-    peers::{MANY_PEERS, Peer, Peers},
-    permits::Permits,
+    generation::GenerationStats,
+    local::{Leaving, Local, SystemStart},
+    owned_quotas::OwnedQuotas,
+    peers::{MAX_PEERS_UNLIMITED_GOSSIP, Peer, Peers},
+    permit_holder::PermitHolder,
+    permit_issuer::PermitIssuer,
     quarantine::Quarantine,
     quotas::Quotas,
-    requests::{Draft, Live, Request},
+    requests::{ActiveAttempt, Completion, Request},
+    retry_budget::RetryBudget,
     roles::{OrderRight, Roles},
-    share::{Growth, Share},
     suspects::Suspects,
-    watchers::Rest,
+    usage::{Growth, Usage},
+    watchers::FollowState,
 };
 use crate::{
     call::RequestId,
@@ -62,99 +62,100 @@
     tuning::Tuning,
 };
 
-/// Daemons that a fleet may have: the size that the design aims at.
-const LARGE_FLEET: usize = 320;
+/// Number of daemons in a fleet of the size that the design aims at.
+const DESIGN_FLEET_SIZE: usize = 320;
 
-/// Part of the wait that a watch waits at least; the rest is random, since changes end all daemons'
-/// watches at the same time.
-const SHORTEST_WAIT: f64 = 0.4;
+/// Minimum wait of a watch as a fraction of its full wait. The rest is random, because a change
+/// ends the watches of all daemons at the same time.
+const MIN_WAIT_FRACTION: f64 = 0.4;
 
-/// Milliseconds by which a peer's start lies before the own one when it has seen the load of the time
-/// before: more than a restart of all at the same moment spreads, clocks included.
-const STARTED_BEFORE: u64 = 3000;
+/// Minimum time in milliseconds by which a peer must have started earlier than this daemon to know
+/// the load from before this daemon's start. A simultaneous restart of all daemons is spread over
+/// less, clock differences included.
+const MIN_START_GAP_MS: u64 = 3000;
 
-/// How peers name a service to each other.
+/// Returns the hash of a service's name that identifies it in messages between daemons.
 #[must_use]
 pub fn service_hash(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
 
-/// All of it.
+/// The state of one daemon, as far as it concerns forwarded calls.
 #[derive(Debug)]
 pub struct State {
-    /// Who this daemon is.
+    /// This daemon's identity.
     pub local: Local,
-    /// Constants.
+    /// Constants of the decisions.
     pub tuning: Tuning,
     /// The configuration in force.
     pub routes: Arc<RouteTable>,
-    /// The endpoints.
+    /// The discovered endpoints.
     pub directory: Directory,
-    /// Endpoints' entries beside those that are in use.
-    pub entries: Entries,
+    /// Endpoint records that are excluded from use, and what later records are checked against.
+    pub records: EndpointRecords,
     /// Calls in progress.
     pub requests: HashMap<RequestId, Request>,
     /// Retry budgets by service.
-    pub budgets: HashMap<String, Budget>,
+    pub retry_budgets: HashMap<String, RetryBudget>,
     /// The other daemons.
     pub peers: Peers,
     /// Endpoints that did not answer.
     pub suspects: Suspects,
-    /// Endpoints that take so many calls a second only.
+    /// Endpoints that limit the number of calls per second.
     pub call_limits: CallLimits,
-    /// Permits for them.
-    pub permits: Permits,
-    /// Permits that this daemon gives out.
-    pub grants: Grants,
-    /// Endpoints that crashed, and what ran there.
+    /// Permits that this daemon holds or has requested, for endpoints with a call limit.
+    pub permit_holder: PermitHolder,
+    /// Permits that this daemon issues, for endpoints with a call limit.
+    pub permit_issuer: PermitIssuer,
+    /// Endpoints that crashed, and the calls that were running there.
     pub crashes: Crashes,
-    /// How new the configuration in force is for certain.
+    /// How recently the configuration in force was confirmed to be the newest.
     pub freshness: Freshness,
     /// What this daemon's callers have taken of the teams' quotas.
     pub quotas: Quotas,
-    /// Quotas that this daemon counts for all.
-    pub counters: Counters,
+    /// Quotas that this daemon owns, and so counts for all daemons.
+    pub owned_quotas: OwnedQuotas,
     /// Calls that are not sent to endpoints.
     pub quarantine: Quarantine,
-    /// How fast drafts of a service are generated, by this daemon's own.
-    pub paces: HashMap<String, Pace>,
-    /// Drafts that wait for room.
+    /// Generation speed of completions by service, as measured by this daemon.
+    pub generation_stats: HashMap<String, GenerationStats>,
+    /// Completions that wait for capacity.
     pub waiting: Vec<RequestId>,
-    /// The line in which the drafts of all daemons wait.
-    pub line: Line,
-    /// There may be room for them since it was last looked for.
-    pub(crate) room: bool,
-    /// When room was last looked for on their behalf.
-    pub(crate) served: Duration,
+    /// The queue in which the completions of all daemons wait.
+    pub queue: CompletionQueue,
+    /// Whether there may be new capacity for waiting completions since it was last checked.
+    pub(crate) capacity_changed: bool,
+    /// When capacity for waiting completions was last checked.
+    pub(crate) capacity_checked: Duration,
     /// The store's revision at which the configuration was read.
     pub routes_revision: Revision,
-    /// The revision at which the last change that matters was seen, here or by a peer.
-    pub news: PerTopic<Revision>,
-    /// A revision that a peer told of and the store hasn't reached, if any. It goes round among daemons
-    /// until all have asked the store.
-    pub disproved: PerTopic<Revision>,
-    /// Endpoints' entries that matter were read, and their revision isn't known yet.
-    pub(crate) fresh: bool,
-    /// Orders to endpoints.
+    /// The newest revision of each topic at which this daemon or a peer knows a relevant change.
+    pub latest_changes: PerTopic<Revision>,
+    /// The last revision of each topic that a peer reported and the store turned out not to have,
+    /// if any. Such a revision circulates among daemons until all of them have asked the store.
+    pub missing_revisions: PerTopic<Revision>,
+    /// Whether relevant changes of endpoint records were read whose revision isn't known yet.
+    pub(crate) records_changed: bool,
+    /// Orders to endpoints to change their stage.
     pub roles: Roles,
-    /// When the first event came.
+    /// When the first event was handled.
     pub(crate) started: Option<Duration>,
-    /// SIGTERM came.
+    /// The shutdown in progress, if SIGTERM was received.
     pub leaving: Option<Leaving>,
     pub(crate) rng: Rng,
     timers: BTreeSet<(Duration, RequestId)>,
 }
 
 impl State {
-    /// A daemon that knows nothing yet.
+    /// Creates the state of a daemon that has just started.
     #[must_use]
     pub fn new(local: Local, tuning: Tuning) -> State {
         let rng = Rng::new(local.seed);
         let peers = Peers {
             incarnation: local.incarnation,
             seeds: local.seeds.clone(),
-            own: local.address,
-            fleet: 1,
+            own_address: local.address,
+            fleet_size: 1,
             ..Peers::default()
         };
         State {
@@ -162,28 +163,28 @@
             tuning,
             routes: Arc::default(),
             directory: Directory::default(),
-            entries: Entries::default(),
+            records: EndpointRecords::default(),
             requests: HashMap::new(),
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             peers,
             suspects: Suspects::default(),
             call_limits: CallLimits::default(),
-            permits: Permits::default(),
-            grants: Grants::default(),
+            permit_holder: PermitHolder::default(),
+            permit_issuer: PermitIssuer::default(),
             crashes: Crashes::default(),
             quarantine: Quarantine::default(),
             freshness: Freshness::default(),
             quotas: Quotas::default(),
-            counters: Counters::default(),
-            paces: HashMap::new(),
+            owned_quotas: OwnedQuotas::default(),
+            generation_stats: HashMap::new(),
             waiting: Vec::new(),
-            line: Line::default(),
-            room: false,
-            served: Duration::ZERO,
+            queue: CompletionQueue::default(),
+            capacity_changed: false,
+            capacity_checked: Duration::ZERO,
             routes_revision: Revision::NONE,
-            news: PerTopic::default(),
-            disproved: PerTopic::default(),
-            fresh: false,
+            latest_changes: PerTopic::default(),
+            missing_revisions: PerTopic::default(),
+            records_changed: false,
             roles: Roles::default(),
             started: None,
             leaving: None,
@@ -192,94 +193,107 @@
         }
     }
 
-    /// Daemons among which the slack of the retry budgets is shared.
+    /// Returns the number of daemons that share the slack of the retry budgets.
     ///
-    /// A daemon that has just started knows few peers yet, and those that started with it may all have
-    /// used their shares a moment ago: for a window it takes the fleet for a large one.
+    /// A daemon that has just started knows few peers, and the daemons that started with it may all
+    /// have used up their shares shortly before. So for one window it assumes a fleet of the design
+    /// size.
     #[must_use]
-    pub fn sharers(&self, now: Duration) -> usize {
-        let young = self.started.is_none_or(|at| now < at + self.tuning.retry_window);
-        let known = self.peers.peak + 1;
-        if young { known.max(LARGE_FLEET) } else { known }
+    pub fn slack_sharers(&self, now: Duration) -> usize {
+        let is_recent = self.started.is_none_or(|at| now < at + self.tuning.retry_window);
+        let known = self.peers.peak_count + 1;
+        if is_recent { known.max(DESIGN_FLEET_SIZE) } else { known }
     }
 
-    /// This daemon has just started again, and so have all that it hears: nobody's load is known, and
-    /// callers whose streams were cut come back all at once.
+    /// Returns whether this daemon and all of its known peers have just restarted. Nobody's load is
+    /// known then, and callers whose streams were cut retry all at once.
     #[must_use]
-    pub fn is_blind(&self, now: Duration) -> bool {
-        let old = |peer: &Peer| self.started_before(peer.incarnation);
-        self.is_young(now) && !self.peers.known.values().any(old)
+    pub fn is_cold_start(&self, now: Duration) -> bool {
+        let is_older = |peer: &Peer| self.started_before(peer.incarnation);
+        self.is_recently_started(now) && !self.peers.known.values().any(is_older)
     }
 
-    /// This daemon has just started again.
-    fn is_young(&self, now: Duration) -> bool {
-        let young = self.started.is_some_and(|at| now < at + self.tuning.blind);
-        young && self.local.start == Start::Again
+    /// Returns whether this daemon has just restarted.
+    fn is_recently_started(&self, now: Duration) -> bool {
+        let is_recent = self.started.is_some_and(|at| now < at + self.tuning.cold_start);
+        is_recent && self.local.start == SystemStart::Restart
     }
 
-    /// A peer with this incarnation has run for some time when this daemon started.
+    /// Returns whether a peer with this incarnation had been running for some time when this daemon
+    /// started.
     #[must_use]
     pub fn started_before(&self, incarnation: u64) -> bool {
-        incarnation + STARTED_BEFORE < self.local.incarnation
+        incarnation + MIN_START_GAP_MS < self.local.incarnation
     }
 
-    /// Daemons that there may be. Right after a start that all may have made together nobody knows.
+    /// Returns the assumed number of daemons in the fleet. Shortly after a start that all daemons
+    /// may have made together nobody knows the number, so it is at least the design size.
     #[must_use]
-    pub fn fleet(&self, now: Duration) -> usize {
-        let unknown = self.is_young(now) && !self.peers.fleet_told;
-        if unknown { self.peers.fleet.max(LARGE_FLEET) } else { self.peers.fleet }
+    pub fn fleet_size(&self, now: Duration) -> usize {
+        let is_unknown = self.is_recently_started(now) && !self.peers.fleet_reported;
+        if is_unknown {
+            self.peers.fleet_size.max(DESIGN_FLEET_SIZE)
+        } else {
+            self.peers.fleet_size
+        }
     }
 
-    /// How drafts of a service grow, by what all daemons have measured.
+    /// Returns how fast a service's completions grow, by the measurements of all daemons.
     #[must_use]
     pub fn growth(&self, service: &str) -> Growth {
-        let pace = self.pace(service);
-        Growth { pace: pace.per_second(), margin: pace.error() * self.tuning.growth_margin }
+        let stats = self.generation_stats(service);
+        Growth {
+            rate: stats.tokens_per_second(),
+            margin: stats.relative_error() * self.tuning.growth_margin,
+        }
     }
 
-    fn pace(&self, service: &str) -> Pace {
-        let own = self.paces.get(service).copied().unwrap_or_default();
+    /// Returns the merged generation stats of all daemons for a service.
+    fn generation_stats(&self, service: &str) -> GenerationStats {
+        let own = self.generation_stats.get(service).copied().unwrap_or_default();
         let name = service_hash(service);
-        let told = self.peers.known.values().flat_map(|peer| &peer.paces);
-        let told = told.filter(|(service, _)| *service == name);
-        told.fold(own, |all, (_, pace)| all.with(*pace))
+        let reported = self.peers.known.values().flat_map(|peer| &peer.generation_stats);
+        let reported = reported.filter(|(service, _)| *service == name);
+        reported.fold(own, |all, (_, stats)| all.merge(*stats))
     }
 
-    /// How many peers have a draft in the line that goes before one with this due time.
+    /// Returns the number of peers with a queued completion that is ahead of one with this due
+    /// time.
     #[must_use]
-    pub fn before(&self, service: &str, due: Duration, now: Duration) -> usize {
+    pub fn peers_ahead(&self, service: &str, due: Duration, now: Duration) -> usize {
         let name = service_hash(service);
-        let soonest = now + self.tuning.lead;
-        let own = Place::new(due, soonest);
-        let first = |peer: &Peer| {
-            let told = peer.waiting.iter().find(|(service, _)| *service == name);
-            told.is_some_and(|(_, due)| Place::new(*due, soonest) < own)
+        let soonest = now + self.tuning.first_token_delay;
+        let own = QueuePosition::new(due, soonest);
+        let is_ahead = |peer: &Peer| {
+            let waiting = peer.waiting.iter().find(|(service, _)| *service == name);
+            waiting.is_some_and(|(_, due)| QueuePosition::new(*due, soonest) < own)
         };
-        self.peers.known.values().filter(|peer| first(peer)).count()
+        self.peers.known.values().filter(|peer| is_ahead(peer)).count()
     }
 
-    /// Calls can be served: configuration and endpoints are known, no key may have been taken away, and the
-    /// daemon stays.
+    /// Returns whether calls can be served: the configuration and the endpoints are known, no key
+    /// can have been revoked unnoticed, and the daemon is not shutting down.
     #[must_use]
-    pub fn ready(&self) -> bool {
-        let trusted = !self.needs_proof() || self.trusts_keys(self.peers.now);
-        self.knows() && self.leaving.is_none() && trusted
+    pub fn is_ready(&self) -> bool {
+        let is_trusted = !self.needs_confirmation() || self.can_trust_keys(self.peers.now);
+        self.is_initialized() && self.leaving.is_none() && is_trusted
     }
 
-    /// Configuration and endpoints are known.
+    /// Returns whether the configuration and the endpoints are known.
     #[must_use]
-    pub fn knows(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         self.routes.version != 0 && !self.directory.revision.is_none()
     }
 
-    /// A peer has seen a change in the store that this daemon has not read.
+    /// Returns whether a peer has seen a change of the topic in the store that this daemon has not
+    /// read.
     #[must_use]
-    pub fn behind(&self, topic: Topic) -> bool {
+    pub fn is_stale(&self, topic: Topic) -> bool {
         let read = self.revision(topic);
-        !read.is_none() && read < *self.news.get(topic)
+        !read.is_none() && read < *self.latest_changes.get(topic)
     }
 
-    /// The store's revision at which a topic was read.
+    /// Returns the store's revision at which a topic was read.
     #[must_use]
     pub fn revision(&self, topic: Topic) -> Revision {
         match topic {
@@ -288,74 +302,81 @@
         }
     }
 
-    /// What a topic's reader has to know.
-    pub fn around(&mut self, topic: Topic) -> Around {
-        let wait = self.read_wait();
-        let Rest { follows, doubts } = self.rests();
+    /// Returns what a topic's reader has to know about this daemon and its peers.
+    pub fn reader_context(&mut self, topic: Topic) -> Around {
+        let wait = self.pick_watch_wait();
+        let FollowState { follows, watcher_losses } = self.follow_state();
         let peers = self.peers.known.len();
-        let shared = peers != 0 && (!self.is_large() || self.watches());
-        let news = *self.news.get(topic);
-        let proves = topic == Topic::Routes && self.needs_proof();
-        let most = if proves { freshness::WATCH_MOST } else { Duration::MAX };
-        let follows = follows && !(proves && self.proof_is_old(self.peers.now));
-        Around { wait, most, peers, shared, news, follows, doubts }
+        let shared = peers != 0 && (!self.is_large_fleet() || self.is_watcher());
+        let news = *self.latest_changes.get(topic);
+        let confirms = topic == Topic::Routes && self.needs_confirmation();
+        let most = if confirms { freshness::MAX_WATCH_WAIT } else { Duration::MAX };
+        let follows = follows && !(confirms && self.is_confirmation_old(self.peers.now));
+        Around { wait, most, peers, shared, news, follows, doubts: watcher_losses }
     }
 
-    /// The fleet is so large that what daemons hear of each other a second is bounded.
+    /// Returns whether the fleet is so large that the bytes per second that daemons receive from
+    /// each other are limited.
     #[must_use]
-    pub fn hears_late(&self) -> bool {
-        MANY_PEERS < self.peers.known.len()
+    pub fn is_gossip_limited(&self) -> bool {
+        MAX_PEERS_UNLIMITED_GOSSIP < self.peers.known.len()
     }
 
-    /// No configuration is known, or a peer has read a newer one: what it lacks or forbids may be there
-    /// or allowed by now, so no caller may be told so for good. The store itself may hold an older one
-    /// than a peer has in force, when it has come back from a copy.
+    /// Returns whether no configuration is known, or a peer has read a newer one. What this
+    /// daemon's configuration lacks or forbids may exist or be allowed by now, so no caller may get
+    /// a final refusal because of it. A store that was restored from a copy may itself hold an
+    /// older configuration than a peer has in force.
     #[must_use]
-    pub fn outdated(&self) -> bool {
-        let newer = |peer: &Peer| self.routes.version < peer.version;
-        !self.knows() || self.behind(Topic::Routes) || self.peers.known.values().any(newer)
+    pub fn is_configuration_outdated(&self) -> bool {
+        let is_newer = |peer: &Peer| self.routes.version < peer.version;
+        !self.is_initialized()
+            || self.is_stale(Topic::Routes)
+            || self.peers.known.values().any(is_newer)
     }
 
-    /// How long the next watch of the store waits for a change.
+    /// Returns a random time for which the next watch of the store waits for a change.
     ///
-    /// Each call to the store is paid for, so a wait should be long. But an open connection can go
-    /// silent without a sign, and a watch on it would wait to its end while endpoints leave. Daemons
-    /// that hear each other wait long, each for another time: the first whose watch ends reads what
-    /// came, and tells the others, which then ask anew. A daemon that hears few relies on itself.
-    pub fn read_wait(&mut self) -> Duration {
+    /// Each call to the store costs money, so the wait should be long. But an open connection can
+    /// go silent without a sign, and a watch on it would wait to its end while endpoints leave.
+    /// Daemons that are in contact with each other wait long, each for a different time: the first
+    /// one whose watch ends reads the changes and reports them to the others, which then ask again.
+    /// A daemon with few peers relies on itself.
+    pub fn pick_watch_wait(&mut self) -> Duration {
         let tuning = &self.tuning;
-        // Those that watch for others have few to share the watch with; those that should rest on others
-        // and can't, since these don't see the store, have none.
-        let peers = match (self.is_large(), self.watches()) {
+        // A watcher of a large fleet shares the work with the few other watchers. A daemon that
+        // should follow the watchers and can't, since they don't see the store, shares it with
+        // nobody.
+        let peers = match (self.is_large_fleet(), self.is_watcher()) {
             (false, _) => self.peers.known.len(),
-            (true, true) => watchers::WATCHERS_LEAST,
+            (true, true) => watchers::MIN_WATCHERS,
             (true, false) => 0,
         };
         let peers = u32::try_from(peers).unwrap_or(u32::MAX);
-        let wait = tuning.read_each.saturating_mul(peers.saturating_add(1));
-        let wait = wait.clamp(tuning.read_alone, tuning.read_longest);
-        wait.mul_f64(SHORTEST_WAIT + (1.0 - SHORTEST_WAIT) * self.rng.unit())
+        let wait = tuning.watch_wait_per_peer.saturating_mul(peers.saturating_add(1));
+        let wait = wait.clamp(tuning.solo_watch_wait, tuning.max_watch_wait);
+        wait.mul_f64(MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.rng.unit())
     }
 
-    /// When the next `Tick` is due.
+    /// Returns when the next `Tick` is due.
     #[must_use]
     pub fn wake_at(&self) -> Option<Duration> {
         let timer = self.timers.first().map(|(at, _)| *at);
         let expiry = self.directory.next_expiry();
         let probe = self.suspects.due();
-        // Drafts that run need less from one moment to the next, also when nothing happens.
-        let room = (!self.waiting.is_empty()).then_some(self.served + self.tuning.hold_pause);
-        let turn = self.line.turn.filter(|_| !self.waiting.is_empty());
+        // Running completions need less capacity as time passes, also when no event arrives.
+        let capacity_check =
+            (!self.waiting.is_empty()).then_some(self.capacity_checked + self.tuning.hold_pause);
+        let queue_turn = self.queue.next_turn.filter(|_| !self.waiting.is_empty());
         timer
             .into_iter()
             .chain(expiry)
             .chain(probe)
             .chain(self.crashes.due())
-            .chain(self.grants.due())
-            .chain(room)
-            .chain(turn)
+            .chain(self.permit_issuer.due())
+            .chain(capacity_check)
+            .chain(queue_turn)
             .chain(self.peers.probe_due())
-            .chain(self.proof_due())
+            .chain(self.confirmation_due())
             .chain(self.quotas.due())
             .chain([self.gossip_due()])
             .min()
@@ -365,7 +386,7 @@
         self.timers.insert((at, id));
     }
 
-    pub(crate) fn due_timer(&mut self, now: Duration) -> Option<RequestId> {
+    pub(crate) fn pop_due_timer(&mut self, now: Duration) -> Option<RequestId> {
         let (at, id) = *self.timers.first()?;
         if now < at {
             return None;
@@ -374,7 +395,7 @@
         Some(id)
     }
 
-    pub(crate) fn drop_timers(&mut self, id: RequestId, times: &[Duration]) {
+    pub(crate) fn cancel_timers(&mut self, id: RequestId, times: &[Duration]) {
         for at in times {
             self.timers.remove(&(*at, id));
         }
--- a/crates/basilbank_forward/src/state/endpoint.rs
+++ b/crates/basilbank_forward/src/state/endpoint.rs
@@ -1,195 +1,205 @@
-//! One start of an endpoint: what the list says of it, what it has to do, and what was measured.
+//! One endpoint: its record in the list, its load, and what was measured of it.
 
 use std::time::Duration;
 
-use super::share::{self, Growth, Share};
+use super::usage::{self, Growth, Usage};
 use crate::{endpoint::EndpointInfo, tuning::Tuning};
 
-/// Weight of a new measurement in the running mean of answer times: some ten answers.
-const MEAN_WEIGHT: f64 = 0.1;
+/// Weight of a new measurement in the running mean of answer times: the mean covers some ten
+/// answers.
+const ANSWER_TIME_WEIGHT: f64 = 0.1;
 
-/// Weight of a new measurement of the prefill rate: a slow endpoint is seen after some prompts.
-const READ_WEIGHT: f64 = 0.2;
+/// Weight of a new measurement of slowness: a slow endpoint is recognized after some prompts.
+const SLOWNESS_WEIGHT: f64 = 0.2;
 
-/// Base time that is assumed before the first prompt, in seconds.
-const FIRST_BASE: f64 = 0.05;
+/// Base time that is assumed before the first prompt.
+const INITIAL_BASE_SECONDS: f64 = 0.05;
 
-/// Most that counts as base time, in seconds; what is beyond is slowness.
-const MOST_BASE: f64 = 0.2;
+/// Maximum base time; anything beyond it counts as slowness.
+const MAX_BASE_SECONDS: f64 = 0.2;
 
-/// Weight of a measurement that raises the base time: it follows the least, and forgets it after
-/// some tens of prompts.
-const BASE_WEIGHT: f64 = 0.03;
+/// Weight of a measurement that raises the base time. The base time follows the minimum, and
+/// forgets it after some tens of prompts.
+const BASE_INCREASE_WEIGHT: f64 = 0.03;
 
-/// Shorter readings say more about round trips than about the endpoint.
-const SHORT_READ: f64 = 0.08;
+/// Minimum expected reading time by which a measured time is divided. Shorter readings say more
+/// about round trips than about the endpoint.
+const MIN_READ_SECONDS: f64 = 0.08;
 
-/// Refusals in a row after which peers are told: about a second.
-const REFUSALS: u32 = 5;
+/// Number of consecutive refusals, about a second, after which peers are told to avoid the
+/// endpoint.
+const REFUSALS_BEFORE_REPORT: u32 = 5;
 
-/// Bound of the measured slowness: beyond it an endpoint counts as failed anyway.
-const SLOWEST: f64 = 10.0;
+/// Maximum slowness; a slower endpoint counts as failed anyway.
+const MAX_SLOWNESS: f64 = 10.0;
 
-/// One endpoint.
+/// The state of one endpoint, that is of one incarnation of an instance.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the list says.
+    /// Its record in the list.
     pub info: EndpointInfo,
-    /// It is off the list; its calls in progress go on.
-    pub gone: bool,
-    /// It has ended, and what it held is lost: its instance started again, or another one has its
-    /// address. Its calls in progress end by their own connections.
-    pub over: bool,
-    /// Own calls in progress.
+    /// Whether it is off the list. Its calls in progress continue.
+    pub unlisted: bool,
+    /// Whether the incarnation has ended and what it held is lost: its instance has restarted, or
+    /// another one has its address. Its calls in progress end when their own connections do.
+    pub ended: bool,
+    /// Number of own calls in progress.
     pub calls: u32,
-    /// Tokens of own calls: to be read at a prefill endpoint, in memory at a decode endpoint.
+    /// Tokens of own calls: those to be read at a prefill endpoint, those in memory at a decode
+    /// endpoint.
     pub tokens: u32,
     /// Tokens of peers' calls.
     pub peer_tokens: u32,
-    /// Peers' calls in progress.
+    /// Number of peers' calls in progress.
     pub peer_calls: u32,
-    /// What own calls take here, those that take memory.
-    pub own: Vec<Share>,
-    /// What peers' calls take here.
-    pub others: Vec<Share>,
-    /// Running mean of its answer times; `None` before the first one.
-    pub mean: Option<Duration>,
-    /// Seconds that reading a prompt takes at least, whatever its length.
-    pub base: f64,
-    /// How many times longer it takes to read prompts than its rate says.
+    /// Usage of each own call that takes memory.
+    pub own_usage: Vec<Usage>,
+    /// Usage of each peer's calls that take memory.
+    pub peer_usage: Vec<Usage>,
+    /// Running mean of its answer times; `None` before the first answer.
+    pub mean_answer_time: Option<Duration>,
+    /// Minimum time in seconds that it takes to read a prompt, whatever the prompt's length.
+    pub base_seconds: f64,
+    /// Time that it takes to read prompts, as a multiple of the time expected from its rate.
     pub slowness: f64,
-    /// Not used before this, unless there is nothing else.
-    pub avoided: Duration,
-    /// This daemon knows that it refuses work until then, and tells its peers.
-    pub shunned: Duration,
-    /// Refusals in a row.
+    /// It isn't used before this time, unless there is no other endpoint.
+    pub avoided_until: Duration,
+    /// Until when this daemon knows that it refuses work, and tells its peers to avoid it.
+    pub reported_until: Duration,
+    /// Number of consecutive refusals.
     refusals: u32,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     failures: u32,
-    /// Removed at this time unless it is listed again.
-    pub(crate) expires: Option<Duration>,
+    /// When it is taken off the list, unless it is listed again before.
+    pub(crate) expires_at: Option<Duration>,
 }
 
 impl Endpoint {
     pub(crate) fn new(info: EndpointInfo) -> Endpoint {
         Endpoint {
             info,
-            gone: false,
-            over: false,
+            unlisted: false,
+            ended: false,
             calls: 0,
             tokens: 0,
             peer_tokens: 0,
             peer_calls: 0,
-            own: Vec::new(),
-            others: Vec::new(),
-            mean: None,
-            base: FIRST_BASE,
+            own_usage: Vec::new(),
+            peer_usage: Vec::new(),
+            mean_answer_time: None,
+            base_seconds: INITIAL_BASE_SECONDS,
             slowness: 1.0,
-            avoided: Duration::ZERO,
-            shunned: Duration::ZERO,
+            avoided_until: Duration::ZERO,
+            reported_until: Duration::ZERO,
             refusals: 0,
             failures: 0,
-            expires: None,
+            expires_at: None,
         }
     }
 
-    /// It may be sent new work.
+    /// Returns whether new work may be sent to it.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
-        !self.gone && !self.info.draining
+    pub fn accepts_work(&self) -> bool {
+        !self.unlisted && !self.info.draining
     }
 
-    /// Its entry is missing, and it is kept for a while.
+    /// Returns whether its record is missing from the list and it is only kept for a grace period.
     #[must_use]
-    pub fn lapses(&self) -> bool {
-        self.expires.is_some()
+    pub fn is_expiring(&self) -> bool {
+        self.expires_at.is_some()
     }
 
-    /// Tokens of all daemons' calls, as far as they are known.
+    /// Returns the number of tokens of all daemons' calls, as far as they are known.
     #[must_use]
-    pub fn all_tokens(&self) -> u32 {
+    pub fn total_tokens(&self) -> u32 {
         self.tokens.saturating_add(self.peer_tokens)
     }
 
-    /// Calls of all daemons, as far as they are known.
+    /// Returns the number of calls of all daemons, as far as they are known.
     #[must_use]
-    pub fn all_calls(&self) -> u32 {
+    pub fn total_calls(&self) -> u32 {
         self.calls.saturating_add(self.peer_calls)
     }
 
-    /// The most memory that the drafts here will take until `more` would have ended, and `more` too.
+    /// Returns the maximum memory, in tokens, that the completions here and an additional one,
+    /// `more`, take until `more` ends.
     #[must_use]
-    pub fn peak(&self, more: Share, now: Duration, growth: Growth) -> f64 {
-        let all = self.own.iter().chain(&self.others).copied();
-        share::peak(all.chain([more]), more.left(now, growth.pace), now, growth)
+    pub fn peak_tokens(&self, more: Usage, now: Duration, growth: Growth) -> f64 {
+        let all = self.own_usage.iter().chain(&self.peer_usage).copied();
+        usage::peak_tokens(all.chain([more]), more.tokens_left(now, growth.rate), now, growth)
     }
 
-    /// It answered: it is there.
-    pub fn answered(&mut self, took: Duration) {
-        self.accepted();
-        self.avoided = Duration::ZERO;
-        let mean = self.mean.unwrap_or(took);
-        self.mean = Some(mean.mul_f64(1.0 - MEAN_WEIGHT) + took.mul_f64(MEAN_WEIGHT));
+    /// Records an answer, which shows that it is reachable.
+    pub fn record_answer(&mut self, took: Duration) {
+        self.record_accepted();
+        self.avoided_until = Duration::ZERO;
+        let mean = self.mean_answer_time.unwrap_or(took);
+        self.mean_answer_time =
+            Some(mean.mul_f64(1.0 - ANSWER_TIME_WEIGHT) + took.mul_f64(ANSWER_TIME_WEIGHT));
     }
 
-    /// It has read a prompt that it should have read in `expected` seconds.
+    /// Records that it has read a prompt, which should have taken `expected` seconds.
     ///
-    /// Part of that time passes also at an idle endpoint, whatever the prompt's length. It is not a
-    /// queue: without telling the two apart, every endpoint would look slow, and prompts would go to
-    /// decode endpoints for nothing.
-    pub fn read(&mut self, took: Duration, expected: f64) {
+    /// Some of the time passes also at an idle endpoint, whatever the prompt's length. That base
+    /// time is not queueing. If it were not kept apart, every endpoint would look slow, and prompts
+    /// would be sent to decode endpoints needlessly.
+    pub fn record_prefill(&mut self, took: Duration, expected: f64) {
         self.failures = 0;
         let took = took.as_secs_f64();
-        let beyond = (took - expected).clamp(0.0, MOST_BASE);
-        let weight = if beyond < self.base { 1.0 } else { BASE_WEIGHT };
-        self.base += weight * (beyond - self.base);
-        let measured = (took - self.base) / expected.max(SHORT_READ);
-        let slowness = self.slowness + READ_WEIGHT * (measured - self.slowness);
-        self.slowness = slowness.clamp(1.0, SLOWEST);
+        let beyond = (took - expected).clamp(0.0, MAX_BASE_SECONDS);
+        let weight = if beyond < self.base_seconds { 1.0 } else { BASE_INCREASE_WEIGHT };
+        self.base_seconds += weight * (beyond - self.base_seconds);
+        let measured = (took - self.base_seconds) / expected.max(MIN_READ_SECONDS);
+        let slowness = self.slowness + SLOWNESS_WEIGHT * (measured - self.slowness);
+        self.slowness = slowness.clamp(1.0, MAX_SLOWNESS);
     }
 
-    /// It took work.
-    pub fn accepted(&mut self) {
+    /// Records that it has accepted work.
+    pub fn record_accepted(&mut self) {
         self.refusals = 0;
         self.failures = 0;
     }
 
-    /// It refused work. One that is full has room again soon. One that goes on refusing leaves, or is
-    /// ill, and while the list can't be read nothing else says so: having nothing to do, it would be
-    /// the first choice for each draft. Others are told of it then.
-    pub fn refused(&mut self, now: Duration, tuning: &Tuning) {
+    /// Records that it has refused work, and avoids it for some time.
+    ///
+    /// A full endpoint has capacity again soon. An endpoint that continues to refuse is shutting
+    /// down or faulty, and while the list can't be read nothing else shows that: since it has no
+    /// load, it would be the first choice for every completion. So peers are told to avoid it after
+    /// some refusals.
+    pub fn record_refusal(&mut self, now: Duration, tuning: &Tuning) {
         let time = tuning.avoid_full.saturating_mul(1 << self.refusals.min(8));
-        let until = now + time.min(tuning.avoid_refusing);
+        let until = now + time.min(tuning.max_avoid_full);
         self.refusals += 1;
-        match self.refusals < REFUSALS {
+        match self.refusals < REFUSALS_BEFORE_REPORT {
             true => self.avoid(until),
-            false => self.shun(until),
+            false => self.avoid_and_report(until),
         }
     }
 
-    /// It could not be reached, or did not answer in time. A dark endpoint stays listed for three
-    /// heartbeats; without this each call in that time would wait for it anew.
-    pub fn failed(&mut self, now: Duration, tuning: &Tuning) {
-        let time = tuning.avoid.saturating_mul(1 << self.failures.min(8));
+    /// Records that it could not be reached or did not answer in time, and avoids it for some time.
+    /// An unreachable endpoint stays listed for three heartbeats; otherwise each call in that time
+    /// would wait for it again.
+    pub fn record_failure(&mut self, now: Duration, tuning: &Tuning) {
+        let time = tuning.avoid_unreachable.saturating_mul(1 << self.failures.min(8));
         self.failures += 1;
-        self.avoid(now + time.min(tuning.avoid_most));
+        self.avoid(now + time.min(tuning.max_avoid_unreachable));
     }
 
-    /// It answers again.
-    pub fn came_back(&mut self) {
+    /// Records that it answers again after it was unreachable.
+    pub fn record_recovery(&mut self) {
         self.failures = 0;
-        self.avoided = Duration::ZERO;
-        self.shunned = Duration::ZERO;
+        self.avoided_until = Duration::ZERO;
+        self.reported_until = Duration::ZERO;
     }
 
-    /// It refuses work until then, whoever asks.
-    pub fn shun(&mut self, until: Duration) {
+    /// Avoids it until `until`, and tells peers to do the same: it refuses work whoever sends it.
+    pub fn avoid_and_report(&mut self, until: Duration) {
         self.avoid(until);
-        self.shunned = self.shunned.max(until);
+        self.reported_until = self.reported_until.max(until);
     }
 
-    /// It isn't used before `until`, unless there is nothing else.
+    /// Doesn't use it before `until`, unless there is no other endpoint.
     pub fn avoid(&mut self, until: Duration) {
-        self.avoided = self.avoided.max(until);
+        self.avoided_until = self.avoided_until.max(until);
     }
 }
--- a/crates/basilbank_forward/tests/forward/order_schedules.rs
+++ b/crates/basilbank_forward/tests/forward/order_schedules.rs
@@ -113,7 +113,7 @@
             Happening::StartAgain(nth) => {
                 let nth = nth % self.endpoints.len();
                 let endpoint = &mut self.endpoints[nth];
-                endpoint.born = Some(endpoint.born.map_or(1, |born| born + 1));
+                endpoint.start_time = Some(endpoint.start_time.map_or(1, |born| born + 1));
             }
         }
     }
@@ -149,7 +149,7 @@
         }
         if 0 < vm.cut {
             vm.cut -= 1;
-            vm.rig.feed(Event::StoreLost);
+            vm.rig.feed(Event::EndpointsReadFailed);
             return;
         }
         vm.rig.set_revision(self.revision);
--- a/crates/basilbank_gateway/src/calls.rs
+++ b/crates/basilbank_gateway/src/calls.rs
@@ -96,7 +96,7 @@
         match error {
             CallError::Unreachable => Outcome::Unreachable,
             CallError::Broken(damage) => Outcome::Broken(damage),
-            CallError::Silent => Outcome::Silent,
+            CallError::Silent => Outcome::TimedOut,
         }
     }
 }
--- a/crates/basilbank_gateway/src/reader.rs
+++ b/crates/basilbank_gateway/src/reader.rs
@@ -139,7 +139,7 @@
                 self.open.retain(|open| open.id != read);
             }
             ReadEffect::Lost if self.topic == Topic::Endpoints => {
-                self.router.dispatch(Event::StoreLost);
+                self.router.dispatch(Event::EndpointsReadFailed);
             }
             ReadEffect::Lost => {}
             ReadEffect::Disproved(revision) => {
@@ -176,7 +176,7 @@
         let came = Came::Answer {
             store: reading.at.store.number,
             // A change that can't be used is one, too: it costs the same.
-            changed: !reading.at.newest.is_none() || !findings.is_empty(),
+            changed: !reading.at.latest_change.is_none() || !findings.is_empty(),
             next: reading.next.clone(),
             bytes: open.progress.bytes(),
         };
