--- a/crates/basilbank_config/src/catalogue/cross_checks.rs
+++ b/crates/basilbank_config/src/catalogue/cross_checks.rs
@@ -132,14 +132,14 @@
 fn check_targets_served(report: &mut Report<'_>, items: &ParsedItems) {
     let served: HashSet<(EntryTarget, Role)> =
         items.endpoints.iter().map(|e| (e.value.serves, e.value.role)).collect();
-    let mut first: BTreeMap<Position, EntryTarget> = BTreeMap::new();
+    let mut first_entries: BTreeMap<Position, EntryTarget> = BTreeMap::new();
     let mut seen = HashSet::new();
     for entry in &items.entries {
         if seen.insert(entry.value.target) {
-            first.insert(entry.pos, entry.value.target);
+            first_entries.insert(entry.pos, entry.value.target);
         }
     }
-    for (pos, target) in first {
+    for (pos, target) in first_entries {
         let roles: &[(Role, &str)] = match target {
             EntryTarget::Model(_) => &[(Role::Prefill, "prefill"), (Role::Decode, "decode")],
             EntryTarget::Service(_) => &[(Role::Plain, "plain")],
