--- a/crates/basilbank_forward/src/prelude.rs
+++ b/crates/basilbank_forward/src/prelude.rs
@@ -8,7 +8,10 @@
     endpoint::{EndpointInfo, EndpointKey, Stage},
     event::{Damage, Event, NotRun, Outcome},
     log_line::{LogLine, Measurement},
-    reading::{Around, Came, Query, ReadEffect, ReadEvent, ReadId, Readers, Scope, Why},
+    reading::{
+        Query, ReadEffect, ReadEvent, ReadId, ReadOutcome, ReadReason, ReaderContext, Readers,
+        Scope,
+    },
     reason::{Refusal, Retry},
     reduce::reduce,
     route::{Route, RouteKind, RouteTable, Service},
--- a/crates/basilbank_forward/src/reading.rs
+++ b/crates/basilbank_forward/src/reading.rs
@@ -12,8 +12,8 @@
 //!   taken, whichever question it belongs to. So no limit has to grow with failures for the sake of a
 //!   slow store or link, and no wait is the sum of others.
 
-mod asked;
 mod limits;
+mod pending;
 mod reader;
 mod readers;
 
@@ -29,38 +29,38 @@
     /// How much of the topic.
     pub scope: Scope,
     /// Why it is asked now.
-    pub why: Why,
+    pub reason: ReadReason,
     /// Longest wait for a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Most bytes of an answer.
-    pub most: usize,
+    pub max_bytes: usize,
 }
 
 /// Why the store is asked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Why {
+pub enum ReadReason {
     /// Everything has to be read.
-    Anew,
+    Full,
     /// A question before it failed, or is silent.
     Failure,
     /// This daemon or a peer has seen a change.
-    News,
+    Change,
     /// Peers watch the topic; a look now and then whether their word holds.
-    Look,
+    Poll,
     /// The topic is watched.
     Watch,
 }
 
-impl Why {
+impl ReadReason {
     /// The stable name, for counters.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Why::Anew => "anew",
-            Why::Failure => "failure",
-            Why::News => "news",
-            Why::Look => "look",
-            Why::Watch => "watch",
+            ReadReason::Full => "anew",
+            ReadReason::Failure => "failure",
+            ReadReason::Change => "news",
+            ReadReason::Poll => "look",
+            ReadReason::Watch => "watch",
         }
     }
 }
@@ -71,7 +71,7 @@
     /// A page of everything.
     Page {
         /// Where it begins, as the page before said; empty for the first.
-        from: String,
+        page_token: String,
     },
     /// What changed after a revision.
     Changes {
@@ -88,34 +88,34 @@
 
 /// What a reader has to know besides.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Around {
+pub struct ReaderContext {
     /// How long a watch of the list that goes out now lets the store wait for a change.
-    pub wait: Duration,
+    pub watch_wait: Duration,
     /// The longest that a watch may let the store wait, whoever else watches.
-    pub most: Duration,
+    pub max_wait: Duration,
     /// Daemons that are heard.
-    pub peers: usize,
+    pub peers_in_contact: usize,
     /// Others watch the topic as well, and tell what they see.
-    pub shared: bool,
+    pub is_shared: bool,
     /// The newest change of the topic that this daemon or a peer has seen.
-    pub news: Revision,
+    pub latest_change: Revision,
     /// Enough peers watch the topic, and say that the store answers them.
-    pub follows: bool,
+    pub is_follower: bool,
     /// How often a peer that watched has said that the store answers it no more.
-    pub doubts: u32,
+    pub watcher_losses: u32,
 }
 
-impl Default for Around {
+impl Default for ReaderContext {
     /// Nobody is heard, and nothing bounds a watch.
-    fn default() -> Around {
-        Around {
-            wait: Duration::ZERO,
-            most: Duration::MAX,
-            peers: 0,
-            shared: false,
-            news: Revision::NONE,
-            follows: false,
-            doubts: 0,
+    fn default() -> ReaderContext {
+        ReaderContext {
+            watch_wait: Duration::ZERO,
+            max_wait: Duration::MAX,
+            peers_in_contact: 0,
+            is_shared: false,
+            latest_change: Revision::NONE,
+            is_follower: false,
+            watcher_losses: 0,
         }
     }
 }
@@ -126,7 +126,7 @@
     /// Time went on, or peers have news.
     Tick,
     /// An answer gets on: its head came, or some of its body.
-    GotOn {
+    Progress {
         /// Whose.
         read: ReadId,
         /// When.
@@ -135,27 +135,27 @@
         bytes: usize,
     },
     /// A question came to its end.
-    Came {
+    Ended {
         /// Which one.
         read: ReadId,
         /// The store's era, if the answer said it.
         era: Option<u64>,
         /// How.
-        came: Came,
+        outcome: ReadOutcome,
     },
 }
 
 /// How a question ended.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Came {
+pub enum ReadOutcome {
     /// With an answer.
     Answer {
         /// The store's revision, in its era.
-        store: u64,
+        store_revision: u64,
         /// It has something that was not known.
         changed: bool,
         /// Where the next page begins; none after the last, and for changes.
-        next: Option<String>,
+        next_page: Option<String>,
         /// Bytes of its body.
         bytes: usize,
     },
@@ -171,19 +171,19 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum ReadEffect {
     /// Ask the store. Questions that are open stay open.
-    Ask(ReadId, Query),
+    Start(ReadId, Query),
     /// Close a question.
-    Drop {
+    Close {
         /// Which one.
         read: ReadId,
         /// It was silent for too long. Otherwise another one has brought the answer.
-        silent: bool,
+        timed_out: bool,
     },
     /// The topic can't be read. It is said once, until it can be read again.
-    Lost,
+    StoreLost,
     /// No change has this revision, though a peer has told of it: the store was asked after that, and
     /// is not as far.
-    Disproved(Revision),
+    RevisionNotFound(Revision),
     /// Log a line.
-    Note(LogLine),
+    Log(LogLine),
 }
--- a/crates/basilbank_forward/src/reading/reader.rs
+++ b/crates/basilbank_forward/src/reading/reader.rs
@@ -1,17 +1,18 @@
 //! The reader of one topic.
 
 mod eras;
-mod rest;
+mod follow;
 
 use std::{cmp::Ordering, time::Duration};
 
 use super::{
-    Around, Came, Query, ReadEffect, ReadEvent, ReadId, Scope, Why,
-    asked::Asked,
+    Query, ReadEffect, ReadEvent, ReadId, ReadOutcome, ReadReason, ReaderContext, Scope,
     limits::{
-        BATCH, BATCH_MANY, BEHIND, CHANGES_LEAST, CHANGES_PART, MARGIN, OTHER_FIRST, PAGE_BYTES,
-        PATIENCE, ROUTES_WAIT, WARY, backoff, pace,
+        BATCH_PAUSE, FOLLOWER_BATCH_PAUSE, HEDGE_DELAY, MAX_CHANGES_FACTOR, MAX_PAGE_BYTES,
+        MIN_CHANGES_BYTES, MIN_ROUTES_RETRY_INTERVAL, READ_TIMEOUT, ROUTES_WAIT_FACTOR,
+        SHORT_WATCH_PERIOD, STALE_HEDGE_DELAY, backoff, hedge_interval,
     },
+    pending::PendingRead,
 };
 use crate::{
     log_line::LogLine,
@@ -26,91 +27,91 @@
 pub struct Reader {
     topic: Topic,
     /// Changes are read after this revision; none when everything has to be read.
-    after: Revision,
+    revision: Revision,
     /// The store's era, once an answer has said it.
     era: Option<u64>,
     /// Since when all answers are of an era before that one.
-    older: Option<Duration>,
+    older_era_since: Option<Duration>,
     /// What is open was asked of the history before the store came back from a copy, and its answers,
     /// though of the new era, would leave out what the store gave known numbers to.
-    outlived: bool,
+    is_history_replaced: bool,
     /// Where the next page of everything begins. A page that fails is asked for again, and none before
     /// it: the more there are, the less likely it is that all of them come in one go.
-    from: String,
+    page_token: String,
     /// The store's revision at the first page. Pages are no snapshot: what changed since is read as
     /// changes.
-    first: u64,
+    first_page_revision: u64,
     /// Bytes of everything, at the last reading.
-    whole: usize,
+    full_read_bytes: usize,
     /// Bytes of the pages so far.
-    pages: usize,
+    pages_bytes: usize,
     /// Questions that are open, the oldest first.
-    asked: Vec<Asked>,
+    pending: Vec<PendingRead>,
     /// Questions so far.
-    count: u64,
+    read_count: u64,
     /// No question goes out before.
-    due: Duration,
+    earliest_start: Duration,
     /// When the last one went out.
-    last: Duration,
+    last_started: Duration,
     /// Refusals and silences in a row.
     failures: u32,
     /// Refusals among them. Silence calls for no pause: it took its time.
     refusals: u32,
     /// Since when the store does not answer as it should.
-    lost: Option<Duration>,
+    lost_since: Option<Duration>,
     /// The other topic can't be read.
-    pub other_lost: bool,
+    pub is_other_lost: bool,
     /// The newest change of which a peer's word led to a question.
-    urged: Revision,
+    prompted_change: Revision,
     /// The next question is due to such a word, or to the other reader's doubt: silence until then is no
     /// outage.
-    hurried: bool,
+    is_early: bool,
     /// A question that a peer's word hurried has failed. So peers reach the store and this daemon does
     /// not, and their next word won't change that; to heed each would only multiply refused calls.
-    alone: bool,
+    ignores_peers: bool,
     /// When everything was read last.
-    read: Option<Duration>,
+    last_full_read: Option<Duration>,
     /// A change of which peers told, and which there is not, if any.
-    disproved: Revision,
+    missing_revision: Revision,
     /// Until then the store is watched more closely.
-    wary: Duration,
+    short_watches_until: Duration,
     /// Nothing is asked, since peers watch the topic, until they have news or it is time for a look.
-    resting: bool,
+    is_following: bool,
     /// The next question comes after such a time.
-    rested: bool,
+    was_following: bool,
     /// Doubts of those peers that were heeded.
-    doubts: u32,
+    watcher_losses: u32,
 }
 
 impl Reader {
     pub fn new(topic: Topic) -> Reader {
         Reader {
             topic,
-            after: Revision::NONE,
+            revision: Revision::NONE,
             era: None,
-            older: None,
-            outlived: false,
-            from: String::new(),
-            first: 0,
-            whole: 0,
-            pages: 0,
-            asked: Vec::new(),
-            count: 0,
-            due: Duration::ZERO,
-            last: Duration::ZERO,
+            older_era_since: None,
+            is_history_replaced: false,
+            page_token: String::new(),
+            first_page_revision: 0,
+            full_read_bytes: 0,
+            pages_bytes: 0,
+            pending: Vec::new(),
+            read_count: 0,
+            earliest_start: Duration::ZERO,
+            last_started: Duration::ZERO,
             failures: 0,
             refusals: 0,
-            lost: None,
-            other_lost: false,
-            urged: Revision::NONE,
-            hurried: false,
-            alone: false,
-            read: None,
-            disproved: Revision::NONE,
-            wary: Duration::ZERO,
-            resting: false,
-            rested: false,
-            doubts: 0,
+            lost_since: None,
+            is_other_lost: false,
+            prompted_change: Revision::NONE,
+            is_early: false,
+            ignores_peers: false,
+            last_full_read: None,
+            missing_revision: Revision::NONE,
+            short_watches_until: Duration::ZERO,
+            is_following: false,
+            was_following: false,
+            watcher_losses: 0,
         }
     }
 
@@ -119,330 +120,383 @@
     pub fn step(
         &mut self,
         now: Duration,
-        mut around: Around,
+        mut context: ReaderContext,
         event: ReadEvent,
         effects: &mut Vec<ReadEffect>,
     ) -> bool {
-        let mut dead = false;
-        if std::mem::take(&mut self.outlived) {
-            self.drop_all(effects);
+        let mut connection_died = false;
+        if std::mem::take(&mut self.is_history_replaced) {
+            self.close_all(effects);
         }
         match event {
             ReadEvent::Tick => {}
-            ReadEvent::GotOn { read, at, bytes } => {
-                if let Some(asked) = self.asked.iter_mut().find(|asked| asked.id == read) {
-                    asked.got_on(at, bytes);
+            ReadEvent::Progress { read, at, bytes } => {
+                if let Some(pending) = self.pending.iter_mut().find(|pending| pending.id == read) {
+                    pending.record_progress(at, bytes);
                 }
             }
-            ReadEvent::Came { read, era, came } => {
-                if let Some(index) = self.asked.iter().position(|asked| asked.id == read) {
-                    let asked = self.asked.remove(index);
-                    let earlier = self.asked[..index].iter().any(|asked| !asked.begun);
-                    let due =
-                        matches!(came, Came::Answer { changed: true, .. } | Came::HistoryGone);
-                    dead = earlier && due;
-                    self.came(now, &asked, era, came, effects);
+            ReadEvent::Ended { read, era, outcome } => {
+                if let Some(index) = self.pending.iter().position(|pending| pending.id == read) {
+                    let pending = self.pending.remove(index);
+                    let earlier = self.pending[..index].iter().any(|pending| !pending.has_begun);
+                    let due = matches!(
+                        outcome,
+                        ReadOutcome::Answer { changed: true, .. } | ReadOutcome::HistoryGone
+                    );
+                    connection_died = earlier && due;
+                    self.handle_outcome(now, &pending, era, outcome, effects);
                 }
             }
         }
-        if around.news == self.disproved {
-            around.news = Revision::NONE;
+        if context.latest_change == self.missing_revision {
+            context.latest_change = Revision::NONE;
         }
-        self.heed(now, around.news);
-        self.wake(now, around);
-        self.close(now, effects);
-        self.ask_if_due(now, around, effects);
-        dead
+        self.handle_latest_change(now, context.latest_change);
+        self.resume_reading(now, context);
+        self.close_timed_out(now, effects);
+        self.start_if_due(now, context, effects);
+        connection_died
     }
 
     pub fn is_lost(&self) -> bool {
-        self.lost.is_some()
+        self.lost_since.is_some()
     }
 
     pub fn wake_at(&self) -> Duration {
-        let ends = self.asked.iter().map(|asked| asked.end);
-        ends.fold(self.ask_at(), Duration::min)
+        let ends = self.pending.iter().map(|pending| pending.close_at);
+        ends.fold(self.next_start(), Duration::min)
     }
 
     /// The other reader's connection went silent, or has died.
-    pub fn doubt(&mut self, now: Duration) {
-        self.wary = now + WARY;
-        if !self.asked.is_empty() && !self.is_lost() {
-            self.hurry(now);
+    pub fn suspect_connection(&mut self, now: Duration) {
+        self.short_watches_until = now + SHORT_WATCH_PERIOD;
+        if !self.pending.is_empty() && !self.is_lost() {
+            self.start_earlier(now);
         }
     }
 
     /// When the next question goes out.
-    fn ask_at(&self) -> Duration {
-        if self.outlived {
-            return self.due;
+    fn next_start(&self) -> Duration {
+        if self.is_history_replaced {
+            return self.earliest_start;
         }
         // Those that are open had their time.
-        let silent = self.asked.iter().map(|asked| asked.overdue).max();
-        let at = silent.map_or(self.due, |silent| silent.max(self.due));
-        let paced = self.other_lost && self.topic == Topic::Routes && !self.after.is_none();
-        match paced && self.failures != 0 && !self.hurried {
-            true => at.max(self.last + OTHER_FIRST),
+        let silent = self.pending.iter().map(|pending| pending.hedge_at).max();
+        let at = silent.map_or(self.earliest_start, |silent| silent.max(self.earliest_start));
+        let paced = self.is_other_lost && self.topic == Topic::Routes && !self.revision.is_none();
+        match paced && self.failures != 0 && !self.is_early {
+            true => at.max(self.last_started + MIN_ROUTES_RETRY_INTERVAL),
             false => at,
         }
     }
 
     /// The next question goes out earlier.
-    fn hurry(&mut self, at: Duration) {
-        for asked in &mut self.asked {
-            asked.hurry(at);
+    fn start_earlier(&mut self, at: Duration) {
+        for pending in &mut self.pending {
+            pending.hedge_earlier(at);
         }
-        self.hurried = true;
-        self.due = self.due.min(at.max(self.last + BEHIND));
+        self.is_early = true;
+        self.earliest_start =
+            self.earliest_start.min(at.max(self.last_started + STALE_HEDGE_DELAY));
     }
 
     /// A peer has seen a change that is not known here: if a question is silent, its connection may be
     /// dead; if the store was lost, it may be back.
-    fn heed(&mut self, now: Duration, news: Revision) {
-        let known = self.after.max(self.urged);
+    fn handle_latest_change(&mut self, now: Duration, latest_change: Revision) {
+        let known = self.revision.max(self.prompted_change);
         // An answer is on its way; or the word before led to a question that is still silent: while
         // versions follow each other fast, each would bring the next question forward.
-        let waits = self.asked.iter().any(|asked| asked.urged || asked.is_coming(now));
-        if self.after.is_none() || news <= known || self.alone || waits {
+        let waits =
+            self.pending.iter().any(|pending| pending.is_prompted || pending.is_arriving(now));
+        if self.revision.is_none() || latest_change <= known || self.ignores_peers || waits {
             return;
         }
         // In the pause after a reading nothing is open, and the next question is soon.
-        if self.asked.is_empty() && !self.is_lost() {
-            if self.resting {
-                self.due = self.due.min(now.max(self.last + BATCH_MANY));
+        if self.pending.is_empty() && !self.is_lost() {
+            if self.is_following {
+                self.earliest_start =
+                    self.earliest_start.min(now.max(self.last_started + FOLLOWER_BATCH_PAUSE));
             }
             return;
         }
-        self.urged = news;
-        self.hurry(if self.is_lost() { now } else { now + BEHIND });
+        self.prompted_change = latest_change;
+        self.start_earlier(if self.is_lost() { now } else { now + STALE_HEDGE_DELAY });
     }
 
     /// Closes questions that were silent for too long.
-    fn close(&mut self, now: Duration, effects: &mut Vec<ReadEffect>) {
-        let closed = self.asked.extract_if(.., |asked| asked.end <= now);
-        effects.extend(closed.map(|asked| ReadEffect::Drop { read: asked.id, silent: true }));
+    fn close_timed_out(&mut self, now: Duration, effects: &mut Vec<ReadEffect>) {
+        let closed = self.pending.extract_if(.., |pending| pending.close_at <= now);
+        effects
+            .extend(closed.map(|pending| ReadEffect::Close { read: pending.id, timed_out: true }));
     }
 
-    fn ask_if_due(&mut self, now: Duration, around: Around, effects: &mut Vec<ReadEffect>) {
-        if now < self.ask_at() {
+    fn start_if_due(
+        &mut self,
+        now: Duration,
+        context: ReaderContext,
+        effects: &mut Vec<ReadEffect>,
+    ) {
+        if now < self.next_start() {
             return;
         }
-        if self.rest(now, around) {
+        if self.follow_watchers(now, context) {
             return;
         }
-        let hurried = std::mem::take(&mut self.hurried);
-        if let Some(oldest) = self.asked.first().cloned() {
-            if hurried && !self.is_lost() {
-                let line = self.note("store_watch_stale").with("after", self.after);
-                effects.push(ReadEffect::Note(line));
-            } else if !hurried {
-                self.alone |= self.asked.iter().any(|asked| asked.urged);
-                self.lose(now, &oldest, "no answer in time", effects);
+        let is_early = std::mem::take(&mut self.is_early);
+        if let Some(oldest) = self.pending.first().cloned() {
+            if is_early && !self.is_lost() {
+                let line = self.log_line("store_watch_stale").with("after", self.revision);
+                effects.push(ReadEffect::Log(line));
+            } else if !is_early {
+                self.ignores_peers |= self.pending.iter().any(|pending| pending.is_prompted);
+                self.mark_lost(now, &oldest, "no answer in time", effects);
             }
             self.failures += 1;
         }
-        self.ask(now, around, hurried, effects);
+        self.start(now, context, is_early, effects);
     }
 
-    fn ask(&mut self, now: Duration, around: Around, urged: bool, effects: &mut Vec<ReadEffect>) {
-        let why = self.why(around);
-        let after = self.after.number;
-        let scope = match why {
-            Why::Anew => Scope::Page { from: self.from.clone() },
+    fn start(
+        &mut self,
+        now: Duration,
+        context: ReaderContext,
+        is_prompted: bool,
+        effects: &mut Vec<ReadEffect>,
+    ) {
+        let reason = self.reason(context);
+        let after = self.revision.number;
+        let scope = match reason {
+            ReadReason::Full => Scope::Page { page_token: self.page_token.clone() },
             // After a failure the store is not to wait for a change: its answer says that it is back. And
             // where there is a change, silence says something at once.
-            Why::Failure | Why::News | Why::Look => Scope::Changes { after, wait: Duration::ZERO },
-            Why::Watch => Scope::Changes { after, wait: self.watch(now, around) },
-        };
-        let (wait, most) = match scope {
-            Scope::Page { .. } => (Duration::ZERO, PAGE_BYTES),
-            Scope::Changes { wait, .. } => {
-                (wait, self.whole.saturating_mul(CHANGES_PART).max(CHANGES_LEAST))
+            ReadReason::Failure | ReadReason::Change | ReadReason::Poll => {
+                Scope::Changes { after, wait: Duration::ZERO }
             }
+            ReadReason::Watch => Scope::Changes { after, wait: self.watch_wait(now, context) },
+        };
+        let (wait, max_bytes) = match scope {
+            Scope::Page { .. } => (Duration::ZERO, MAX_PAGE_BYTES),
+            Scope::Changes { wait, .. } => (
+                wait,
+                self.full_read_bytes.saturating_mul(MAX_CHANGES_FACTOR).max(MIN_CHANGES_BYTES),
+            ),
         };
-        let margin = if wait.is_zero() { pace(around.peers) } else { MARGIN };
+        let margin =
+            if wait.is_zero() { hedge_interval(context.peers_in_contact) } else { HEDGE_DELAY };
         let silent = wait + margin;
-        let id = ReadId(self.count);
-        self.count += 1;
-        self.last = now;
-        self.asked.push(Asked {
+        let id = ReadId(self.read_count);
+        self.read_count += 1;
+        self.last_started = now;
+        self.pending.push(PendingRead {
             id,
-            at: now,
-            overdue: now + silent,
-            end: now + silent + PATIENCE,
-            begun: false,
+            started_at: now,
+            hedge_at: now + silent,
+            close_at: now + silent + READ_TIMEOUT,
+            has_begun: false,
             bytes: 0,
-            page: matches!(scope, Scope::Page { .. }),
-            urged,
-            news: around.news,
+            is_page: matches!(scope, Scope::Page { .. }),
+            is_prompted,
+            latest_change: context.latest_change,
         });
         // Another question goes out long before a connection that can't be made is given up.
-        effects.push(ReadEffect::Ask(id, Query { scope, why, connect: PATIENCE, most }));
+        effects.push(ReadEffect::Start(
+            id,
+            Query { scope, reason, connect_timeout: READ_TIMEOUT, max_bytes },
+        ));
     }
 
-    fn why(&self, around: Around) -> Why {
-        match self.after {
-            after if after.is_none() => Why::Anew,
-            _ if self.failures != 0 => Why::Failure,
-            after if after < around.news => Why::News,
+    fn reason(&self, context: ReaderContext) -> ReadReason {
+        match self.revision {
+            after if after.is_none() => ReadReason::Full,
+            _ if self.failures != 0 => ReadReason::Failure,
+            after if after < context.latest_change => ReadReason::Change,
             // The connection was idle for long. If it died meanwhile, a watch would only show it in the end.
-            _ if around.follows || self.rested => Why::Look,
-            _ => Why::Watch,
+            _ if context.is_follower || self.was_following => ReadReason::Poll,
+            _ => ReadReason::Watch,
         }
     }
 
     /// How long a watch lets the store wait.
-    fn watch(&self, now: Duration, around: Around) -> Duration {
-        let longer = self.topic == Topic::Routes && around.shared && self.wary <= now;
-        let wait = if longer { around.wait.saturating_mul(ROUTES_WAIT) } else { around.wait };
-        wait.min(around.most)
+    fn watch_wait(&self, now: Duration, context: ReaderContext) -> Duration {
+        let longer =
+            self.topic == Topic::Routes && context.is_shared && self.short_watches_until <= now;
+        let wait = if longer {
+            context.watch_wait.saturating_mul(ROUTES_WAIT_FACTOR)
+        } else {
+            context.watch_wait
+        };
+        wait.min(context.max_wait)
     }
 
-    fn came(
+    fn handle_outcome(
         &mut self,
         now: Duration,
-        asked: &Asked,
+        pending: &PendingRead,
         era: Option<u64>,
-        came: Came,
+        outcome: ReadOutcome,
         effects: &mut Vec<ReadEffect>,
     ) {
-        match self.compare(era) {
-            Ordering::Less => return self.of_older_era(now, asked, era, effects),
+        match self.compare_era(era) {
+            Ordering::Less => return self.handle_older_era(now, pending, era, effects),
             Ordering::Equal => self.era = self.era.or(era),
             Ordering::Greater => {
-                let begins = asked.page && self.from.is_empty();
-                self.enter(now, era, effects);
-                match came {
+                let begins = pending.is_page && self.page_token.is_empty();
+                self.enter_era(now, era, effects);
+                match outcome {
                     // It is the first page of everything as it is now.
-                    Came::Answer { .. } if begins => {}
-                    Came::Failed(error) => return self.failed(now, asked, &error, effects),
+                    ReadOutcome::Answer { .. } if begins => {}
+                    ReadOutcome::Failed(error) => {
+                        return self.record_failure(now, pending, &error, effects);
+                    }
                     _ => return,
                 }
             }
         }
-        self.older = None;
-        match came {
-            Came::Answer { store, changed, next, bytes } => {
-                self.answered(now, asked, bytes, effects);
-                if asked.page {
-                    self.page(now, store, next, bytes);
+        self.older_era_since = None;
+        match outcome {
+            ReadOutcome::Answer { store_revision, changed, next_page, bytes } => {
+                self.record_success(now, pending, bytes, effects);
+                if pending.is_page {
+                    self.handle_page(now, store_revision, next_page, bytes);
                 } else {
-                    self.changes(now, asked, store, changed, effects);
+                    self.handle_changes(now, pending, store_revision, changed, effects);
                 }
             }
-            Came::HistoryGone => self.read_all(now, "history_gone", effects),
-            Came::TooLong if !self.after.is_none() => self.read_all(now, "too_long", effects),
-            Came::TooLong => self.failed(now, asked, "too long", effects),
-            Came::Failed(error) => self.failed(now, asked, &error, effects),
+            ReadOutcome::HistoryGone => self.restart_full_read(now, "history_gone", effects),
+            ReadOutcome::TooLong if !self.revision.is_none() => {
+                self.restart_full_read(now, "too_long", effects);
+            }
+            ReadOutcome::TooLong => self.record_failure(now, pending, "too long", effects),
+            ReadOutcome::Failed(error) => self.record_failure(now, pending, &error, effects),
         }
     }
 
-    fn answered(
+    fn record_success(
         &mut self,
         now: Duration,
-        asked: &Asked,
+        pending: &PendingRead,
         bytes: usize,
         effects: &mut Vec<ReadEffect>,
     ) {
-        self.drop_all(effects);
-        if let Some(lost) = self.lost.take() {
-            let line = self.note("store_regained").with("failures", self.failures);
-            let line = line.with("bytes", bytes).with_ms("took_ms", now.saturating_sub(asked.at));
+        self.close_all(effects);
+        if let Some(lost) = self.lost_since.take() {
+            let line = self.log_line("store_regained").with("failures", self.failures);
+            let line = line
+                .with("bytes", bytes)
+                .with_ms("took_ms", now.saturating_sub(pending.started_at));
             let line = line.with_ms("lost_ms", now.saturating_sub(lost));
-            effects.push(ReadEffect::Note(line));
+            effects.push(ReadEffect::Log(line));
         }
         // At a start there is no trouble, only nothing to read yet.
-        if self.failures != 0 && !self.after.is_none() {
-            self.wary = now + WARY;
+        if self.failures != 0 && !self.revision.is_none() {
+            self.short_watches_until = now + SHORT_WATCH_PERIOD;
         }
         (self.failures, self.refusals) = (0, 0);
-        self.urged = Revision::NONE;
-        self.alone = false;
-        self.hurried = false;
-        self.due = now;
+        self.prompted_change = Revision::NONE;
+        self.ignores_peers = false;
+        self.is_early = false;
+        self.earliest_start = now;
     }
 
-    fn page(&mut self, now: Duration, store: u64, next: Option<String>, bytes: usize) {
-        if self.from.is_empty() {
-            (self.first, self.pages) = (store, 0);
+    fn handle_page(&mut self, now: Duration, store: u64, next: Option<String>, bytes: usize) {
+        if self.page_token.is_empty() {
+            (self.first_page_revision, self.pages_bytes) = (store, 0);
         }
-        self.pages += bytes;
+        self.pages_bytes += bytes;
         if let Some(next) = next {
-            self.from = next;
+            self.page_token = next;
             return;
         }
-        self.from.clear();
-        self.whole = self.pages;
-        self.after = self.at(self.first);
-        self.read = Some(now);
-        self.due = now;
+        self.page_token.clear();
+        self.full_read_bytes = self.pages_bytes;
+        self.revision = self.revision_in_era(self.first_page_revision);
+        self.last_full_read = Some(now);
+        self.earliest_start = now;
     }
 
-    fn changes(
+    fn handle_changes(
         &mut self,
         now: Duration,
-        asked: &Asked,
+        pending: &PendingRead,
         store: u64,
         changed: bool,
         effects: &mut Vec<ReadEffect>,
     ) {
-        let store = self.at(store);
+        let store = self.revision_in_era(store);
         // Within an era the store's counter only rises, and its answers are as new as the question.
-        if store < asked.news {
-            self.disproved = asked.news;
-            effects.push(ReadEffect::Disproved(asked.news));
+        if store < pending.latest_change {
+            self.missing_revision = pending.latest_change;
+            effects.push(ReadEffect::RevisionNotFound(pending.latest_change));
         }
-        self.after = store;
-        self.due = if changed { now + BATCH } else { now };
+        self.revision = store;
+        self.earliest_start = if changed { now + BATCH_PAUSE } else { now };
     }
 
     /// Changes can't be had, or cost more than they bring.
-    fn read_all(&mut self, now: Duration, why: &'static str, effects: &mut Vec<ReadEffect>) {
-        let line = self.note("store_read_all").with("why", why).with("after", self.after);
-        effects.push(ReadEffect::Note(line));
-        self.drop_all(effects);
-        self.begin_anew(now);
+    fn restart_full_read(
+        &mut self,
+        now: Duration,
+        reason: &'static str,
+        effects: &mut Vec<ReadEffect>,
+    ) {
+        let line = self.log_line("store_read_all").with("why", reason).with("after", self.revision);
+        effects.push(ReadEffect::Log(line));
+        self.close_all(effects);
+        self.schedule_full_read(now);
     }
 
     /// Everything is read next.
-    fn begin_anew(&mut self, now: Duration) {
-        self.after = Revision::NONE;
-        self.from.clear();
+    fn schedule_full_read(&mut self, now: Duration) {
+        self.revision = Revision::NONE;
+        self.page_token.clear();
         // A store that drops its history all the time, or changes more than all that it holds, isn't
         // asked in a loop without a pause.
-        self.due = self.read.map_or(now, |read| now.max(read + BATCH));
+        self.earliest_start = self.last_full_read.map_or(now, |read| now.max(read + BATCH_PAUSE));
     }
 
-    fn failed(&mut self, now: Duration, asked: &Asked, error: &str, effects: &mut Vec<ReadEffect>) {
-        self.alone |= asked.urged;
-        self.hurried = false;
-        self.lose(now, asked, error, effects);
+    fn record_failure(
+        &mut self,
+        now: Duration,
+        pending: &PendingRead,
+        error: &str,
+        effects: &mut Vec<ReadEffect>,
+    ) {
+        self.ignores_peers |= pending.is_prompted;
+        self.is_early = false;
+        self.mark_lost(now, pending, error, effects);
         self.failures += 1;
         // Connections that can't be made fail one after the other, long after they were tried: if each
         // led to a pause, the pauses would follow each other without a question.
-        if asked.at == self.last {
+        if pending.started_at == self.last_started {
             self.refusals += 1;
-            self.due = now + backoff(self.refusals);
+            self.earliest_start = now + backoff(self.refusals);
         }
     }
 
-    fn lose(&mut self, now: Duration, asked: &Asked, error: &str, effects: &mut Vec<ReadEffect>) {
+    fn mark_lost(
+        &mut self,
+        now: Duration,
+        pending: &PendingRead,
+        error: &str,
+        effects: &mut Vec<ReadEffect>,
+    ) {
         if self.is_lost() {
             return;
         }
-        self.lost = Some(now);
-        let line = self.note("store_lost").with("error", error);
-        let line = line.with_ms("took_ms", now.saturating_sub(asked.at));
-        effects.push(ReadEffect::Note(line.with("bytes", asked.bytes)));
-        effects.push(ReadEffect::Lost);
+        self.lost_since = Some(now);
+        let line = self.log_line("store_lost").with("error", error);
+        let line = line.with_ms("took_ms", now.saturating_sub(pending.started_at));
+        effects.push(ReadEffect::Log(line.with("bytes", pending.bytes)));
+        effects.push(ReadEffect::StoreLost);
     }
 
-    fn drop_all(&mut self, effects: &mut Vec<ReadEffect>) {
-        let others = self.asked.drain(..);
-        effects.extend(others.map(|asked| ReadEffect::Drop { read: asked.id, silent: false }));
+    fn close_all(&mut self, effects: &mut Vec<ReadEffect>) {
+        let others = self.pending.drain(..);
+        effects
+            .extend(others.map(|pending| ReadEffect::Close { read: pending.id, timed_out: false }));
     }
 
-    fn note(&self, name: &'static str) -> LogLine {
+    fn log_line(&self, name: &'static str) -> LogLine {
         LogLine::new(name).with("topic", self.topic.as_str())
     }
 }
--- a/crates/basilbank_forward/src/reading/readers.rs
+++ b/crates/basilbank_forward/src/reading/readers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Around, ReadEffect, ReadEvent, ReadId, reader::Reader};
+use super::{ReadEffect, ReadEvent, ReadId, ReaderContext, reader::Reader};
 use crate::topic::{PerTopic, Topic};
 
 /// The readers of both topics. They ask the same store on the same way, so what one learns of it counts
@@ -26,32 +26,32 @@
         &mut self,
         topic: Topic,
         now: Duration,
-        around: Around,
+        context: ReaderContext,
         event: ReadEvent,
         effects: &mut Vec<ReadEffect>,
     ) -> bool {
         let reader = self.0.get_mut(topic);
         let before = reader.is_lost();
-        let dead = reader.step(now, around, event, effects);
+        let connection_died = reader.step(now, context, event, effects);
         let (lost, era) = (reader.is_lost(), reader.era());
         let other = self.0.get_mut(topic.other());
-        let until = other.wake_at();
-        other.other_lost = lost;
+        let previous_wake = other.wake_at();
+        other.is_other_lost = lost;
         if let Some(era) = era.filter(|era| other.era().is_some_and(|known| known != *era)) {
-            other.other_era(now, era);
+            other.handle_other_era(now, era);
         }
         // The list has news more often; when its connection went silent, the configuration's, whose
         // watch takes longer, probably did, too.
-        if dead || lost && !before && topic == Topic::Endpoints {
-            other.doubt(now);
+        if connection_died || lost && !before && topic == Topic::Endpoints {
+            other.suspect_connection(now);
         }
-        other.wake_at() < until
+        other.wake_at() < previous_wake
     }
 
     /// The era in which an answer of a topic counts; `None` if it doesn't, and is not to be taken in.
     #[must_use]
-    pub fn counts(&self, topic: Topic, read: ReadId, era: Option<u64>) -> Option<u64> {
-        self.0.get(topic).counts(read, era)
+    pub fn accepted_era(&self, topic: Topic, read: ReadId, era: Option<u64>) -> Option<u64> {
+        self.0.get(topic).accepted_era(read, era)
     }
 
     /// When the topic needs a `Tick`.
--- a/crates/basilbank_forward/src/state.rs
+++ b/crates/basilbank_forward/src/state.rs
@@ -56,7 +56,7 @@
 };
 use crate::{
     call::RequestId,
-    reading::Around,
+    reading::ReaderContext,
     route::RouteTable,
     topic::{PerTopic, Revision, Topic},
     tuning::Tuning,
@@ -303,7 +303,7 @@
     }
 
     /// Returns what a topic's reader has to know about this daemon and its peers.
-    pub fn reader_context(&mut self, topic: Topic) -> Around {
+    pub fn reader_context(&mut self, topic: Topic) -> ReaderContext {
         let wait = self.pick_watch_wait();
         let FollowState { follows, watcher_losses } = self.follow_state();
         let peers = self.peers.known.len();
@@ -312,7 +312,15 @@
         let confirms = topic == Topic::Routes && self.needs_confirmation();
         let most = if confirms { freshness::MAX_WATCH_WAIT } else { Duration::MAX };
         let follows = follows && !(confirms && self.is_confirmation_old(self.peers.now));
-        Around { wait, most, peers, shared, news, follows, doubts: watcher_losses }
+        ReaderContext {
+            watch_wait: wait,
+            max_wait: most,
+            peers_in_contact: peers,
+            is_shared: shared,
+            latest_change: news,
+            is_follower: follows,
+            watcher_losses,
+        }
     }
 
     /// Returns whether the fleet is so large that the bytes per second that daemons receive from
--- a/crates/basilbank_forward/tests/reading/daemon.rs
+++ b/crates/basilbank_forward/tests/reading/daemon.rs
@@ -60,7 +60,7 @@
     pub scope: Scope,
     /// Its connection is dead.
     pub dead: bool,
-    pub came: Option<Came>,
+    pub came: Option<ReadOutcome>,
     /// The store's era, and the version that it held, when the answer left.
     pub era: Option<u64>,
     pub version: u64,
@@ -83,7 +83,7 @@
         for (key, open) in &mut self.open {
             open.dead |= way.kills();
             if way == Way::Refused && !open.dead {
-                open.came = Some(Came::Failed("reset".to_owned()));
+                open.came = Some(ReadOutcome::Failed("reset".to_owned()));
                 failed.push(*key);
             }
         }
--- a/crates/basilbank_forward/tests/reading/eras.rs
+++ b/crates/basilbank_forward/tests/reading/eras.rs
@@ -38,40 +38,60 @@
     fn feed(&mut self, topic: Topic, event: ReadEvent) {
         let wait = Duration::from_secs(2);
         let news = *self.news.get(topic);
-        let around = Around { wait, peers: 5, shared: true, news, ..Around::default() };
+        let around = ReaderContext {
+            watch_wait: wait,
+            peers_in_contact: 5,
+            is_shared: true,
+            latest_change: news,
+            ..ReaderContext::default()
+        };
         let mut effects = Vec::new();
         self.readers.step(topic, self.now, around, event, &mut effects);
         for effect in effects {
             let asked = self.asked.get_mut(topic);
             match effect {
-                ReadEffect::Ask(id, query) => {
-                    self.anew += u32::from(query.scope == Scope::Page { from: String::new() });
+                ReadEffect::Start(id, query) => {
+                    self.anew +=
+                        u32::from(query.scope == Scope::Page { page_token: String::new() });
                     asked.push((id, query.scope));
                 }
-                ReadEffect::Drop { read, .. } => asked.retain(|(id, _)| *id != read),
-                ReadEffect::Disproved(revision) => self.disproved.push(revision),
-                ReadEffect::Lost | ReadEffect::Note(_) => {}
+                ReadEffect::Close { read, .. } => asked.retain(|(id, _)| *id != read),
+                ReadEffect::RevisionNotFound(revision) => self.disproved.push(revision),
+                ReadEffect::StoreLost | ReadEffect::Log(_) => {}
             }
         }
     }
 
     /// The newest question is answered.
-    fn came(&mut self, topic: Topic, era: Option<u64>, came: Came) -> Option<u64> {
+    fn came(&mut self, topic: Topic, era: Option<u64>, came: ReadOutcome) -> Option<u64> {
         let (read, _) = self.asked.get_mut(topic).pop().expect("a question");
-        let counts = self.readers.counts(topic, read, era);
-        self.feed(topic, ReadEvent::Came { read, era, came });
+        let counts = self.readers.accepted_era(topic, read, era);
+        self.feed(topic, ReadEvent::Ended { read, era, outcome: came });
         counts
     }
 
     /// The same, with nothing that was not known. Returns the era in which the answer counts.
     fn answer(&mut self, topic: Topic, era: Option<u64>, store: u64) -> Option<u64> {
-        self.came(topic, era, Came::Answer { store, changed: false, next: None, bytes: 100 })
+        self.came(
+            topic,
+            era,
+            ReadOutcome::Answer {
+                store_revision: store,
+                changed: false,
+                next_page: None,
+                bytes: 100,
+            },
+        )
     }
 
     /// A page of everything that isn't the last.
     fn page(&mut self, topic: Topic, era: Option<u64>) -> Option<u64> {
         let next = Some("servers/m".to_owned());
-        self.came(topic, era, Came::Answer { store: 100, changed: true, next, bytes: 100 })
+        self.came(
+            topic,
+            era,
+            ReadOutcome::Answer { store_revision: 100, changed: true, next_page: next, bytes: 100 },
+        )
     }
 
     /// Lets time pass, and asks what is due.
@@ -88,7 +108,7 @@
 }
 
 fn beginning() -> Scope {
-    Scope::Page { from: String::new() }
+    Scope::Page { page_token: String::new() }
 }
 
 const LIST: Topic = Topic::Endpoints;
@@ -129,7 +149,7 @@
 #[test]
 fn an_error_tells_the_era_too() {
     let mut rig = Rig::new(Some(1));
-    rig.came(LIST, Some(2), Came::Failed("status 503".to_owned()));
+    rig.came(LIST, Some(2), ReadOutcome::Failed("status 503".to_owned()));
     rig.pass(Duration::from_millis(1500));
     assert_eq!(rig.scope(Topic::Routes), Some(&beginning()));
 }
@@ -140,10 +160,10 @@
 #[test]
 fn pages_of_two_eras_are_thrown_away() {
     let mut rig = Rig::new(Some(1));
-    rig.came(LIST, Some(1), Came::HistoryGone);
+    rig.came(LIST, Some(1), ReadOutcome::HistoryGone);
     rig.pass(Duration::from_millis(600));
     assert_eq!(rig.page(LIST, Some(1)), Some(1));
-    assert!(matches!(rig.scope(LIST), Some(Scope::Page { from }) if !from.is_empty()));
+    assert!(matches!(rig.scope(LIST), Some(Scope::Page { page_token: from }) if !from.is_empty()));
     assert_eq!(rig.answer(LIST, Some(2), 100), None);
     rig.pass(Duration::from_millis(600));
     assert_eq!(rig.scope(LIST), Some(&beginning()));
--- a/crates/basilbank_forward/tests/reading/fleet.rs
+++ b/crates/basilbank_forward/tests/reading/fleet.rs
@@ -206,7 +206,7 @@
     fn ask(&mut self, n: usize, topic: Topic, id: ReadId, query: Query) {
         let way = self.daemons[n].way;
         let kept = std::mem::take(self.daemons[n].kept.get_mut(topic));
-        let Query { scope, connect, .. } = query;
+        let Query { scope, connect_timeout: connect, .. } = query;
         let wait = match scope {
             Scope::Changes { wait, .. } => wait,
             Scope::Page { .. } => Duration::ZERO,
@@ -217,11 +217,11 @@
             _ if kept == Kept::Dead => open.dead = true,
             Way::Silent => {}
             Way::Cut => {
-                open.came = Some(Came::Failed("unreachable".to_owned()));
+                open.came = Some(ReadOutcome::Failed("unreachable".to_owned()));
                 self.after(connect, Step::Arrives(n, topic, id));
             }
             Way::Refused => {
-                open.came = Some(Came::Failed("status 503".to_owned()));
+                open.came = Some(ReadOutcome::Failed("status 503".to_owned()));
                 self.after(TRIP, Step::Arrives(n, topic, id));
             }
             _ => {
@@ -266,17 +266,19 @@
     fn arrives(&mut self, n: usize, topic: Topic, id: ReadId) {
         let daemon = &mut self.daemons[n];
         let Some(open) = daemon.open.get(&(topic, id)) else { return };
-        let cut = matches!(open.came, Some(Came::Failed(_)));
+        let cut = matches!(open.came, Some(ReadOutcome::Failed(_)));
         if open.dead && !cut {
             return;
         }
         let open = daemon.open.remove(&(topic, id)).expect("it is there");
         let came = open.came.expect("an answer");
-        if !matches!(came, Came::Failed(_)) {
+        if !matches!(came, ReadOutcome::Failed(_)) {
             *daemon.kept.get_mut(topic) = Kept::Live;
         }
-        let counts = daemon.readers.counts(topic, id, open.era);
-        if let (Came::Answer { store, changed, .. }, Some(era)) = (&came, counts) {
+        let counts = daemon.readers.accepted_era(topic, id, open.era);
+        if let (ReadOutcome::Answer { store_revision: store, changed, .. }, Some(era)) =
+            (&came, counts)
+        {
             daemon.lost &= topic != Topic::Endpoints;
             if *changed {
                 let in_force = daemon.in_force.get_mut(topic);
@@ -293,7 +295,7 @@
             }
         }
         self.tell(n, topic, format_args!("{} came {:?} {came:?}", id.0, open.era));
-        self.feed(n, topic, ReadEvent::Came { read: id, era: open.era, came });
+        self.feed(n, topic, ReadEvent::Ended { read: id, era: open.era, outcome: came });
     }
 
     fn tell(&mut self, n: usize, topic: Topic, what: std::fmt::Arguments<'_>) {
@@ -333,35 +335,35 @@
         let watchers = self.plan.watchers;
         let shared = peers != 0 && (watchers == 0 || n < watchers);
         let news = *self.daemons[n].news.get(topic);
-        let around = Around {
-            wait: self.wait(n),
-            most: Duration::MAX,
-            peers,
-            shared,
-            news,
-            follows,
-            doubts,
+        let around = ReaderContext {
+            watch_wait: self.wait(n),
+            max_wait: Duration::MAX,
+            peers_in_contact: peers,
+            is_shared: shared,
+            latest_change: news,
+            is_follower: follows,
+            watcher_losses: doubts,
         };
         let mut effects = Vec::new();
         let now = self.now;
         let other = self.daemons[n].readers.step(topic, now, around, event, &mut effects);
         for effect in effects {
             match effect {
-                ReadEffect::Ask(id, query) => self.ask(n, topic, id, query),
-                ReadEffect::Drop { read, .. } => {
+                ReadEffect::Start(id, query) => self.ask(n, topic, id, query),
+                ReadEffect::Close { read, .. } => {
                     self.daemons[n].open.remove(&(topic, read));
                 }
-                ReadEffect::Disproved(revision) => {
+                ReadEffect::RevisionNotFound(revision) => {
                     self.broken = Some(format!("revision {revision} was disproved"));
                 }
-                ReadEffect::Note(note) => self.tell(n, topic, format_args!("{}", note.name)),
-                ReadEffect::Lost if topic == Topic::Endpoints => {
+                ReadEffect::Log(note) => self.tell(n, topic, format_args!("{}", note.name)),
+                ReadEffect::StoreLost if topic == Topic::Endpoints => {
                     self.daemons[n].lost = true;
                     if n < self.plan.watchers {
                         self.say(n);
                     }
                 }
-                ReadEffect::Lost => {}
+                ReadEffect::StoreLost => {}
             }
         }
         let wake = self.daemons[n].readers.wake_at(topic);
--- a/crates/basilbank_forward/tests/reading/store.rs
+++ b/crates/basilbank_forward/tests/reading/store.rs
@@ -126,13 +126,17 @@
     }
 
     /// What a question is answered now; `None` while it waits for a change.
-    pub fn answer(&self, topic: Topic, scope: &Scope, waited: bool) -> Option<Came> {
-        let answer =
-            |changed| Came::Answer { store: self.revision(), changed, next: None, bytes: 1000 };
+    pub fn answer(&self, topic: Topic, scope: &Scope, waited: bool) -> Option<ReadOutcome> {
+        let answer = |changed| ReadOutcome::Answer {
+            store_revision: self.revision(),
+            changed,
+            next_page: None,
+            bytes: 1000,
+        };
         match scope {
             Scope::Page { .. } => Some(answer(true)),
             Scope::Changes { after, .. } if *after < self.floor || self.revision() < *after => {
-                Some(Came::HistoryGone)
+                Some(ReadOutcome::HistoryGone)
             }
             Scope::Changes { after, .. } => {
                 let changed = *after < self.newest(topic);
--- a/crates/basilbank_gateway/src/calls.rs
+++ b/crates/basilbank_gateway/src/attempt.rs
@@ -14,39 +14,39 @@
 use tokio::time::timeout;
 
 use crate::{
-    dialect::Head,
-    links::{CallError, Link},
+    connections::{CallError, Connection},
+    dialect::AnswerKind,
     router::Router,
 };
 
 /// Largest whole answer: it is read to its end before it is passed on, so that one that breaks off
 /// is not taken for whole.
-const WHOLE: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Largest answer that is meant for the router itself.
-const OWN: usize = 64 << 10;
+const MAX_CONTROL_ANSWER_BYTES: usize = 64 << 10;
 
 /// What an attempt came to, and what is to be passed on.
 #[derive(Debug)]
-pub struct Came {
+pub struct AttemptResult {
     /// For the decisions.
     pub outcome: Outcome,
     /// For the caller.
-    pub parked: Option<Parked>,
+    pub pending: Option<PendingAnswer>,
 }
 
 /// An answer that waits until the decisions say whether it is passed on.
 #[derive(Debug)]
-pub enum Parked {
+pub enum PendingAnswer {
     /// A whole one.
-    Whole(Answer),
+    Full(FullAnswer),
     /// A stream that has begun.
-    Stream(Box<Stream>),
+    Stream(Box<AnswerStream>),
 }
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct FullAnswer {
     /// The status.
     pub status: StatusCode,
     /// The headers, without those of the connection.
@@ -57,7 +57,7 @@
 
 /// A stream that has begun.
 #[derive(Debug)]
-pub struct Stream {
+pub struct AnswerStream {
     /// The status.
     pub status: StatusCode,
     /// The headers, without those of the connection.
@@ -65,18 +65,18 @@
     /// The rest of the body.
     pub body: Incoming,
     /// Its connection.
-    pub link: Link,
+    pub connection: Connection,
     /// How long the endpoint keeps the connection.
-    pub kept: Option<Option<Duration>>,
+    pub keep_alive: Option<Option<Duration>>,
     /// Silence after which its endpoint is asked whether it lives.
-    pub stall: Option<Duration>,
+    pub stall_timeout: Option<Duration>,
     /// Where it comes from.
     pub target: Target,
 }
 
 /// One caller's request, as it came.
 #[derive(Debug)]
-pub struct Original {
+pub struct CallerRequest {
     /// What the decisions know of it.
     pub call: Call,
     /// Its head.
@@ -85,9 +85,9 @@
     pub body: Bytes,
 }
 
-impl Came {
-    fn bare(outcome: Outcome) -> Came {
-        Came { outcome, parked: None }
+impl AttemptResult {
+    fn without_answer(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, pending: None }
     }
 }
 
@@ -102,59 +102,75 @@
 }
 
 /// Carries an attempt out.
-pub async fn carry_out(
+pub async fn run_attempt(
     router: Rc<Router>,
-    original: Rc<Original>,
+    caller_request: Rc<CallerRequest>,
     attempt: Attempt,
-    last: Option<String>,
-) -> Came {
+    last_event_id: Option<String>,
+) -> AttemptResult {
     let dialect = &router.dialect;
-    let request = (dialect.request)(&original.head, &original.body, &attempt, last.as_deref());
-    let alive = || (dialect.alive)(&attempt.target.instance);
+    let request = (dialect.attempt_request)(
+        &caller_request.head,
+        &caller_request.body,
+        &attempt,
+        last_event_id.as_deref(),
+    );
+    let liveness_request = || (dialect.liveness_request)(&attempt.target.instance);
     let answer = match attempt.op {
         Op::Hold { .. } => {
-            router.links.call(&attempt.target, request, attempt.answer_timeout).await
+            router.connections.call(&attempt.target, request, attempt.answer_timeout).await
         }
         Op::Plain | Op::Stream { .. } | Op::Prefill | Op::Decode { .. } => {
-            let (limit, longest) = (attempt.answer_timeout, attempt.remaining);
-            router.links.call_patiently(&attempt.target, request, limit, longest, alive).await
+            let (answer_timeout, max_wait) = (attempt.answer_timeout, attempt.remaining);
+            router
+                .connections
+                .call_while_alive(
+                    &attempt.target,
+                    request,
+                    answer_timeout,
+                    max_wait,
+                    liveness_request,
+                )
+                .await
         }
     };
-    let (response, link) = match answer {
+    let (response, connection) = match answer {
         Ok(answer) => answer,
-        Err(error) => return Came::bare(error.into()),
+        Err(error) => return AttemptResult::without_answer(error.into()),
     };
-    let (head, body) = split(response);
-    learn_limit(&router, &attempt, &head);
-    match (dialect.head)(&original.call, &attempt.op, &head) {
-        Head::Unclear => Came::bare(Outcome::Broken(Damage::Foreign)),
-        Head::NotRun(why) => {
-            keep_after(&router, &attempt, &head, body, link).await;
-            Came::bare(Outcome::NotRun(why))
+    let (head, body) = split_head(response);
+    report_call_limit(&router, &attempt, &head);
+    match (dialect.classify_answer)(&caller_request.call, &attempt.op, &head) {
+        AnswerKind::Unclear => AttemptResult::without_answer(Outcome::Broken(Damage::Foreign)),
+        AnswerKind::NotRun(why) => {
+            drain_and_keep(&router, &attempt, &head, body, connection).await;
+            AttemptResult::without_answer(Outcome::NotRun(why))
         }
-        Head::Own => own(&router, &attempt, &head, body, link).await,
-        Head::Answer if streams(&attempt.op) && head.status().is_success() => {
-            let kept = kept(&head);
-            let (status, headers) = (head.status(), end_to_end(head));
-            let stream = Stream {
+        AnswerKind::Control => {
+            read_control_answer(&router, &attempt, &head, body, connection).await
+        }
+        AnswerKind::Forward if is_streaming(&attempt.op) && head.status().is_success() => {
+            let keep_alive = parse_keep_alive(&head);
+            let (status, headers) = (head.status(), end_to_end_headers(head));
+            let stream = AnswerStream {
                 status,
                 headers,
                 body,
-                link,
-                kept,
-                stall: attempt.stall_timeout,
+                connection,
+                keep_alive,
+                stall_timeout: attempt.stall_timeout,
                 target: attempt.target,
             };
-            let parked = Some(Parked::Stream(Box::new(stream)));
-            Came { outcome: Outcome::Streaming, parked }
+            let pending = Some(PendingAnswer::Stream(Box::new(stream)));
+            AttemptResult { outcome: Outcome::Streaming, pending }
         }
-        Head::Answer => whole(&router, &attempt, head, body, link).await,
+        AnswerKind::Forward => read_full_answer(&router, &attempt, head, body, connection).await,
     }
 }
 
 /// Tells the decisions what the answer says of the endpoint's limit. One that says nothing lifts it, if the
 /// endpoint has run the call: what refuses a call, or holds a slot, need not say it.
-fn learn_limit(router: &Rc<Router>, attempt: &Attempt, head: &Response<()>) {
+fn report_call_limit(router: &Rc<Router>, attempt: &Attempt, head: &Response<()>) {
     let endpoint = attempt.target.endpoint;
     let rate = (router.dialect.call_limit)(head);
     let runs = head.status().is_success() && !matches!(attempt.op, Op::Hold { .. });
@@ -164,89 +180,90 @@
 }
 
 /// Sends a request whose answer matters to nobody but the log.
-pub async fn send_off(
+pub async fn send_control(
     router: &Router,
     target: &Target,
     request: crate::dialect::OutRequest,
-    limit: Duration,
+    answer_timeout: Duration,
 ) -> Result<StatusCode, CallError> {
-    let (response, link) = router.links.call(target, request, limit).await?;
-    let (head, body) = split(response);
-    if read(body, OWN, limit).await.is_some()
-        && let Some(kept) = kept(&head)
+    let (response, connection) = router.connections.call(target, request, answer_timeout).await?;
+    let (head, body) = split_head(response);
+    if collect_body(body, MAX_CONTROL_ANSWER_BYTES, answer_timeout).await.is_some()
+        && let Some(keep_alive) = parse_keep_alive(&head)
     {
-        router.links.keep(target.endpoint, link, kept);
+        router.connections.keep(target.endpoint, connection, keep_alive);
     }
     Ok(head.status())
 }
 
-async fn own(
+async fn read_control_answer(
     router: &Router,
     attempt: &Attempt,
     head: &Response<()>,
     body: Incoming,
-    link: Link,
-) -> Came {
-    let Some(bytes) = read(body, OWN, attempt.answer_timeout).await else {
-        return Came::bare(Outcome::Broken(Damage::CutOff));
+    connection: Connection,
+) -> AttemptResult {
+    let Some(bytes) = collect_body(body, MAX_CONTROL_ANSWER_BYTES, attempt.answer_timeout).await
+    else {
+        return AttemptResult::without_answer(Outcome::Broken(Damage::CutOff));
     };
-    if let Some(kept) = kept(head) {
-        router.links.keep(attempt.target.endpoint, link, kept);
+    if let Some(keep_alive) = parse_keep_alive(head) {
+        router.connections.keep(attempt.target.endpoint, connection, keep_alive);
     }
-    let outcome = (router.dialect.own_body)(&attempt.op, &bytes);
-    Came::bare(outcome.unwrap_or(Outcome::Broken(Damage::Garbled)))
+    let outcome = (router.dialect.parse_control_answer)(&attempt.op, &bytes);
+    AttemptResult::without_answer(outcome.unwrap_or(Outcome::Broken(Damage::Garbled)))
 }
 
-async fn whole(
+async fn read_full_answer(
     router: &Router,
     attempt: &Attempt,
     head: Response<()>,
     body: Incoming,
-    link: Link,
-) -> Came {
+    connection: Connection,
+) -> AttemptResult {
     // A body that breaks off must not look whole: it is read to its end before it is passed on.
-    let Some(bytes) = read(body, WHOLE, attempt.answer_timeout).await else {
-        return Came::bare(Outcome::Broken(Damage::CutOff));
+    let Some(bytes) = collect_body(body, MAX_ANSWER_BYTES, attempt.answer_timeout).await else {
+        return AttemptResult::without_answer(Outcome::Broken(Damage::CutOff));
     };
-    if let Some(kept) = kept(&head) {
-        router.links.keep(attempt.target.endpoint, link, kept);
+    if let Some(keep_alive) = parse_keep_alive(&head) {
+        router.connections.keep(attempt.target.endpoint, connection, keep_alive);
     }
     let status = head.status();
-    let answer = Answer { status, headers: end_to_end(head), body: bytes };
+    let answer = FullAnswer { status, headers: end_to_end_headers(head), body: bytes };
     let outcome = Outcome::Answered { status: status.as_u16() };
-    Came { outcome, parked: Some(Parked::Whole(answer)) }
+    AttemptResult { outcome, pending: Some(PendingAnswer::Full(answer)) }
 }
 
-async fn keep_after(
+async fn drain_and_keep(
     router: &Router,
     attempt: &Attempt,
     head: &Response<()>,
     body: Incoming,
-    link: Link,
+    connection: Connection,
 ) {
-    let read = read(body, OWN, Duration::from_millis(50)).await;
-    if let (Some(_), Some(kept)) = (read, kept(head)) {
-        router.links.keep(attempt.target.endpoint, link, kept);
+    let drained = collect_body(body, MAX_CONTROL_ANSWER_BYTES, Duration::from_millis(50)).await;
+    if let (Some(_), Some(keep_alive)) = (drained, parse_keep_alive(head)) {
+        router.connections.keep(attempt.target.endpoint, connection, keep_alive);
     }
 }
 
-async fn read(body: Incoming, most: usize, limit: Duration) -> Option<Bytes> {
-    let collected = timeout(limit, Limited::new(body, most).collect()).await.ok()?;
+async fn collect_body(body: Incoming, max_bytes: usize, read_timeout: Duration) -> Option<Bytes> {
+    let collected = timeout(read_timeout, Limited::new(body, max_bytes).collect()).await.ok()?;
     Some(collected.ok()?.to_bytes())
 }
 
-fn streams(op: &Op) -> bool {
+fn is_streaming(op: &Op) -> bool {
     matches!(op, Op::Stream { .. } | Op::Decode { .. })
 }
 
-fn split(response: Response<Incoming>) -> (Response<()>, Incoming) {
+fn split_head(response: Response<Incoming>) -> (Response<()>, Incoming) {
     let (head, body) = response.into_parts();
     (Response::from_parts(head, ()), body)
 }
 
 /// How long the endpoint keeps the connection: `None` when it closes it, `Some(None)` when it
 /// doesn't say.
-fn kept(head: &Response<()>) -> Option<Option<Duration>> {
+fn parse_keep_alive(head: &Response<()>) -> Option<Option<Duration>> {
     let closes = |value: &hyper::header::HeaderValue| {
         value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close"))
     };
@@ -287,7 +304,7 @@
     }
 }
 
-fn end_to_end(head: Response<()>) -> HeaderMap {
+fn end_to_end_headers(head: Response<()>) -> HeaderMap {
     let mut headers = head.into_parts().0.headers;
     strip_hop_by_hop(&mut headers);
     headers
--- a/crates/basilbank_gateway/src/edge.rs
+++ b/crates/basilbank_gateway/src/caller_listener.rs
@@ -17,16 +17,16 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// A caller that takes no byte for this long while there are bytes for it is cut off.
-const WRITE: Duration = Duration::from_secs(8);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(8);
 
-const CLOSE: HeaderValue = HeaderValue::from_static("close");
+const CONNECTION_CLOSE: HeaderValue = HeaderValue::from_static("close");
 
 /// The answer to a head that does not come to its end.
-const SLOW_HEADER: &[u8] = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 24\r\n\
+const SLOW_HEADER_RESPONSE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 24\r\n\
     connection: close\r\ncontent-type: application/json\r\n\r\n{\"error\":\"slow_header\"}\n";
 
 /// Open connections of callers.
-pub type Open = Rc<Cell<usize>>;
+pub type OpenConnections = Rc<Cell<usize>>;
 
 /// What callers' connections are told.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -34,24 +34,24 @@
     /// Serve on.
     Serving,
     /// Accept on, but end each connection with its next answer.
-    Leaving,
+    Draining,
     /// Accept no more.
     Closed,
 }
 
 /// Accepts callers until the phase is `Closed` and nobody waits to be accepted.
-pub async fn accept(
+pub async fn accept_callers(
     router: Rc<Router>,
     listener: TcpListener,
     mut phase: watch::Receiver<Phase>,
-    open: Open,
+    open: OpenConnections,
 ) {
     let (closing, closed) = watch::channel(false);
     let serve = |stream: TcpStream| {
         let (router, closed, open) = (Rc::clone(&router), closed.clone(), Rc::clone(&open));
         open.set(open.get() + 1);
         spawn_local(async move {
-            connection(router, stream, closed).await;
+            serve_connection(router, stream, closed).await;
             open.set(open.get() - 1);
         });
     };
@@ -79,27 +79,30 @@
     }
 }
 
-async fn connection(router: Rc<Router>, stream: TcpStream, closing: watch::Receiver<bool>) {
-    let bounds = router.read(|state| state.routes.limits);
-    let terms =
-        Terms { write_time: WRITE, head_time: bounds.idle_timeout, head_bytes: bounds.head_bytes };
-    let (serving, leaving) = (Rc::clone(&router), closing.clone());
+async fn serve_connection(router: Rc<Router>, stream: TcpStream, closing: watch::Receiver<bool>) {
+    let limits = router.read(|state| state.routes.limits);
+    let terms = Terms {
+        write_time: WRITE_TIMEOUT,
+        head_time: limits.idle_timeout,
+        head_bytes: limits.head_bytes,
+    };
+    let (router_for_requests, draining) = (Rc::clone(&router), closing.clone());
     let handle = move |request| {
-        let (router, leaving) = (Rc::clone(&serving), leaving.clone());
+        let (router, draining) = (Rc::clone(&router_for_requests), draining.clone());
         Box::pin(async move {
             let mut response = request::serve(router, request).await;
             // A connection whose first request comes only now isn't told by hyper.
-            if *leaving.borrow() {
-                response.headers_mut().insert(CONNECTION, CLOSE);
+            if *draining.borrow() {
+                response.headers_mut().insert(CONNECTION, CONNECTION_CLOSE);
             }
             Ok::<_, Infallible>(response)
         })
     };
     let refuse = |refusal: EdgeRefusal| {
-        router.metrics.refused_early(refusal.as_str());
+        router.metrics.count_refused_early(refusal.as_str());
         log::info!("event=refused_early reason={}", refusal.as_str());
         // hyper answers what it can't parse by itself.
-        (refusal == EdgeRefusal::SlowHeader).then(|| SLOW_HEADER.to_vec())
+        (refusal == EdgeRefusal::SlowHeader).then(|| SLOW_HEADER_RESPONSE.to_vec())
     };
     edge::serve(stream, &terms, handle, refuse, closing).await;
 }
--- a/crates/basilbank_gateway/src/links.rs
+++ b/crates/basilbank_gateway/src/connections.rs
@@ -19,22 +19,22 @@
 
 /// Longest wait for a connection: some round trips between data centres. An endpoint behind a
 /// partition does not answer at all, and a lost opening packet is sent again after a second only.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a connection is kept when the endpoint doesn't say how long it keeps it.
-const KEPT: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// Taken off what the endpoint says: it may close the connection while a request is on its way.
-const KEPT_MARGIN: Duration = Duration::from_millis(700);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Idle connections to one endpoint beyond this are closed.
-const IDLE_MOST: usize = 16;
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
 /// Limit of the question whether an endpoint lives.
-const ALIVE: Duration = Duration::from_millis(250);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Largest response head in bytes.
-const HEAD_BYTES: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 
 /// How a call failed without an answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -50,50 +50,53 @@
 /// A connection to an endpoint. Dropping it closes the connection, so that an endpoint stops working
 /// for a call that nobody waits for.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
-    _task: Task,
+    _task: ConnectionTask,
 }
 
 #[derive(Debug)]
-struct Task(AbortHandle);
+struct ConnectionTask(AbortHandle);
 
-impl Drop for Task {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 #[derive(Debug)]
-struct Idle {
-    link: Link,
-    until: Instant,
+struct IdleConnection {
+    connection: Connection,
+    expires_at: Instant,
 }
 
 /// The connections that are kept, by endpoint.
 #[derive(Debug, Default)]
-pub struct Links {
-    idle: RefCell<HashMap<EndpointKey, Vec<Idle>>>,
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<EndpointKey, Vec<IdleConnection>>>,
 }
 
-impl Link {
+impl Connection {
     /// Connects within `limit`.
     ///
     /// # Errors
     /// The endpoint can't be reached in time.
-    pub async fn connect(addr: SocketAddr, limit: Duration) -> Result<Link, CallError> {
-        let connected = timeout(limit, TcpStream::connect(addr)).await;
+    pub async fn connect(
+        addr: SocketAddr,
+        connect_timeout: Duration,
+    ) -> Result<Connection, CallError> {
+        let connected = timeout(connect_timeout, TcpStream::connect(addr)).await;
         let Ok(Ok(stream)) = connected else { return Err(CallError::Unreachable) };
         // Without the option the call works, but its last segment may wait for an acknowledgement.
         let _ = stream.set_nodelay(true);
         let handshake = http1::Builder::new()
-            .max_buf_size(HEAD_BYTES)
+            .max_buf_size(MAX_HEAD_BYTES)
             .handshake::<_, Full<Bytes>>(TokioIo::new(stream))
             .await;
         let Ok((sender, connection)) = handshake else { return Err(CallError::Unreachable) };
         // Its errors show at the sender and the body.
         let task = tokio::task::spawn_local(async move { drop(connection.await) });
-        Ok(Link { sender, _task: Task(task.abort_handle()) })
+        Ok(Connection { sender, _task: ConnectionTask(task.abort_handle()) })
     }
 
     /// A request can be sent on it now.
@@ -109,9 +112,9 @@
     pub async fn send(
         &mut self,
         request: OutRequest,
-        limit: Duration,
+        answer_timeout: Duration,
     ) -> Result<Response<Incoming>, (CallError, Option<Box<OutRequest>>)> {
-        match timeout(limit, self.sender.try_send_request(request)).await {
+        match timeout(answer_timeout, self.sender.try_send_request(request)).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => {
                 let unsent = error.take_message().map(Box::new);
@@ -124,7 +127,7 @@
     }
 }
 
-impl Links {
+impl ConnectionPool {
     /// Calls an endpoint: over a kept connection if there is one, else over a new one.
     ///
     /// After `limit` the endpoint is asked by `alive` whether it lives; while it does, the answer is
@@ -133,24 +136,24 @@
     ///
     /// # Errors
     /// There is no answer.
-    pub async fn call_patiently(
+    pub async fn call_while_alive(
         &self,
         target: &Target,
         request: OutRequest,
-        limit: Duration,
-        longest: Duration,
-        alive: impl Fn() -> OutRequest,
-    ) -> Result<(Response<Incoming>, Link), CallError> {
-        let end = Instant::now() + longest;
-        let mut call = pin!(self.call(target, request, longest));
+        answer_timeout: Duration,
+        max_wait: Duration,
+        liveness_request: impl Fn() -> OutRequest,
+    ) -> Result<(Response<Incoming>, Connection), CallError> {
+        let end = Instant::now() + max_wait;
+        let mut call = pin!(self.call(target, request, max_wait));
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            match timeout(limit.min(left), &mut call).await {
+            match timeout(answer_timeout.min(left), &mut call).await {
                 Ok(answer) => return answer,
                 Err(_) if end <= Instant::now() => return Err(CallError::Silent),
                 Err(_) => {}
             }
-            if !self.lives(target, alive()).await {
+            if !self.is_alive(target, liveness_request()).await {
                 return Err(CallError::Silent);
             }
         }
@@ -160,8 +163,8 @@
     /// silent with what was at its other end.
     pub async fn probe(&self, target: &Target, request: OutRequest) -> Liveness {
         let answer = async {
-            let mut link = Link::connect(target.addr, ALIVE).await?;
-            link.send(request, ALIVE).await.map_err(|(error, _)| error)
+            let mut connection = Connection::connect(target.addr, LIVENESS_TIMEOUT).await?;
+            connection.send(request, LIVENESS_TIMEOUT).await.map_err(|(error, _)| error)
         };
         match answer.await {
             Ok(_) => Liveness::Alive,
@@ -170,8 +173,8 @@
     }
 
     /// The endpoint answers.
-    pub async fn lives(&self, target: &Target, request: OutRequest) -> bool {
-        let answer = self.call(target, request, ALIVE).await;
+    pub async fn is_alive(&self, target: &Target, request: OutRequest) -> bool {
+        let answer = self.call(target, request, LIVENESS_TIMEOUT).await;
         answer.is_ok_and(|(response, _)| response.status().is_success())
     }
 
@@ -183,66 +186,72 @@
         &self,
         target: &Target,
         request: OutRequest,
-        limit: Duration,
-    ) -> Result<(Response<Incoming>, Link), CallError> {
-        let begun = Instant::now();
+        answer_timeout: Duration,
+    ) -> Result<(Response<Incoming>, Connection), CallError> {
+        let start = Instant::now();
         let mut request = request;
-        while let Some(mut link) = self.take(target.endpoint) {
-            let left = limit.saturating_sub(begun.elapsed());
-            match link.send(request, left).await {
-                Ok(response) => return Ok((response, link)),
+        while let Some(mut connection) = self.take_idle(target.endpoint) {
+            let left = answer_timeout.saturating_sub(start.elapsed());
+            match connection.send(request, left).await {
+                Ok(response) => return Ok((response, connection)),
                 // The endpoint closed the connection before anything was sent on it.
-                Err((_, Some(back))) => request = *back,
+                Err((_, Some(unsent))) => request = *unsent,
                 Err((error, None)) => return Err(error),
             }
         }
-        let mut link = Link::connect(target.addr, limit.min(CONNECT)).await?;
-        let left = limit.saturating_sub(begun.elapsed());
-        match link.send(request, left).await {
-            Ok(response) => Ok((response, link)),
+        let mut connection =
+            Connection::connect(target.addr, answer_timeout.min(CONNECT_TIMEOUT)).await?;
+        let left = answer_timeout.saturating_sub(start.elapsed());
+        match connection.send(request, left).await {
+            Ok(response) => Ok((response, connection)),
             Err((_, Some(_))) => Err(CallError::Unreachable),
             Err((error, None)) => Err(error),
         }
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub fn keep(&self, endpoint: EndpointKey, link: Link, kept: Option<Duration>) {
-        if link.sender.is_closed() {
+    pub fn keep(
+        &self,
+        endpoint: EndpointKey,
+        connection: Connection,
+        keep_alive: Option<Duration>,
+    ) {
+        if connection.sender.is_closed() {
             return;
         }
-        let kept = kept.unwrap_or(KEPT).saturating_sub(KEPT_MARGIN);
-        let until = Instant::now() + kept;
+        let keep_alive = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(KEEP_ALIVE_MARGIN);
+        let expires_at = Instant::now() + keep_alive;
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(endpoint).or_default();
-        list.push(Idle { link, until });
-        if IDLE_MOST < list.len() {
+        list.push(IdleConnection { connection, expires_at });
+        if MAX_IDLE_PER_ENDPOINT < list.len() {
             list.remove(0);
         }
     }
 
     /// Closes what is kept open to an endpoint.
-    pub fn forget(&self, endpoint: EndpointKey) {
+    pub fn close_idle(&self, endpoint: EndpointKey) {
         self.idle.borrow_mut().remove(&endpoint);
     }
 
     /// Closes what has been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
-            list.retain(|kept| now < kept.until && !kept.link.sender.is_closed());
+            list.retain(|entry| now < entry.expires_at && !entry.connection.sender.is_closed());
         }
         idle.retain(|_, list| !list.is_empty());
     }
 
     /// The connection that was used last, so that those beyond need can go idle and close.
-    fn take(&self, endpoint: EndpointKey) -> Option<Link> {
+    fn take_idle(&self, endpoint: EndpointKey) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&endpoint)?;
-        while let Some(kept) = list.pop() {
-            if now < kept.until && kept.link.is_ready() {
-                return Some(kept.link);
+        while let Some(entry) = list.pop() {
+            if now < entry.expires_at && entry.connection.is_ready() {
+                return Some(entry.connection);
             }
         }
         None
--- a/crates/basilbank_gateway/src/gateway.rs
+++ b/crates/basilbank_gateway/src/gateway.rs
@@ -13,23 +13,23 @@
 };
 
 use crate::{
-    edge::{self, Open, Phase},
+    caller_listener::{self, OpenConnections, Phase},
     router::Router,
-    side,
+    status_listener,
 };
 
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
+const ACCEPT_BACKLOG: i32 = 1024;
 
 /// How long callers are accepted after SIGTERM. The balancer asks once a second and stops sending
 /// after two answers other than 200; closing earlier would refuse connections that it still sends.
-const ACCEPT_ON: Duration = Duration::from_millis(3300);
+const ACCEPT_AFTER_SHUTDOWN: Duration = Duration::from_millis(3300);
 
 /// Kept of the grace for closing what is left.
-const END_MARGIN: Duration = Duration::from_millis(600);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(600);
 
 /// How often the end is looked for.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Where to listen.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -49,7 +49,7 @@
 pub struct Gateway {
     router: Rc<Router>,
     phase: watch::Sender<Phase>,
-    open: Open,
+    open_connections: OpenConnections,
     callers: SocketAddr,
     ready: SocketAddr,
 }
@@ -61,19 +61,24 @@
     /// An address can't be had.
     pub async fn start(router: Rc<Router>, addresses: Addresses) -> anyhow::Result<Gateway> {
         let listener = listen(addresses.callers).context("callers' address")?;
-        let side = listen(addresses.ready).context("ready address")?;
-        let (callers, ready) = (listener.local_addr()?, side.local_addr()?);
-        router.talk(UdpSocket::bind(addresses.peers).await.context("peers' address")?);
+        let status_listener = listen(addresses.ready).context("ready address")?;
+        let (callers, ready) = (listener.local_addr()?, status_listener.local_addr()?);
+        router.start_gossip(UdpSocket::bind(addresses.peers).await.context("peers' address")?);
         let (phase, phases) = watch::channel(Phase::Serving);
-        let open: Open = Rc::new(Cell::new(0));
-        spawn_local(edge::accept(Rc::clone(&router), listener, phases, Rc::clone(&open)));
-        spawn_local(side::serve(Rc::clone(&router), side));
+        let open: OpenConnections = Rc::new(Cell::new(0));
+        spawn_local(caller_listener::accept_callers(
+            Rc::clone(&router),
+            listener,
+            phases,
+            Rc::clone(&open),
+        ));
+        spawn_local(status_listener::serve(Rc::clone(&router), status_listener));
         if let Some(address) = addresses.metrics {
             let listener = listen(address).context("metrics' address")?;
-            spawn_local(side::serve(Rc::clone(&router), listener));
+            spawn_local(status_listener::serve(Rc::clone(&router), listener));
         }
         spawn_local(Rc::clone(&router).run_timer());
-        Ok(Gateway { router, phase, open, callers, ready })
+        Ok(Gateway { router, phase, open_connections: open, callers, ready })
     }
 
     /// Where callers connect.
@@ -90,15 +95,15 @@
 
     /// Leaves within `grace`: not ready at once, callers are accepted until the balancer has
     /// noticed, then all in progress is finished.
-    pub async fn leave(self, grace: Duration) {
-        let grace = grace.saturating_sub(END_MARGIN);
+    pub async fn shut_down(self, grace: Duration) {
+        let grace = grace.saturating_sub(SHUTDOWN_MARGIN);
         let end = Instant::now() + grace;
         self.router.dispatch(Event::Shutdown { grace });
-        self.phase.send_replace(Phase::Leaving);
-        sleep_until(end.min(Instant::now() + ACCEPT_ON)).await;
+        self.phase.send_replace(Phase::Draining);
+        sleep_until(end.min(Instant::now() + ACCEPT_AFTER_SHUTDOWN)).await;
         self.phase.send_replace(Phase::Closed);
-        while self.open.get() != 0 && Instant::now() < end {
-            sleep(LOOK).await;
+        while self.open_connections.get() != 0 && Instant::now() < end {
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -109,6 +114,6 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Ok(TcpListener::from_std(socket.into())?)
 }
--- a/crates/basilbank_gateway/src/peers.rs
+++ b/crates/basilbank_gateway/src/gossip.rs
@@ -11,11 +11,11 @@
 use crate::router::Router;
 
 /// Largest datagram that is read: a thousand endpoints.
-const DATAGRAM: usize = 32 << 10;
+const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 
 /// Hears peers until the task is dropped.
-pub async fn hear(router: Rc<Router>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; DATAGRAM];
+pub async fn receive(router: Rc<Router>, socket: Rc<UdpSocket>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             // A peer's port was closed; the others' datagrams go on.
@@ -23,7 +23,7 @@
             continue;
         };
         match LoadGossip::decode(&buffer[..length]) {
-            Ok(beat) => router.dispatch(Event::gossip(from, beat)),
+            Ok(gossip) => router.dispatch(Event::gossip(from, gossip)),
             Err(error) => {
                 log::warn!("{}", Line::new("bad_datagram").with("from", from).with("error", error));
             }
@@ -33,8 +33,8 @@
 
 /// Sends one datagram to each. What can't be sent at once is lost, as datagrams may be; the next
 /// one says it all again.
-pub fn say(socket: &UdpSocket, to: &[SocketAddr], beat: &LoadGossip) {
-    let bytes = beat.encode_to_vec();
+pub fn send(socket: &UdpSocket, to: &[SocketAddr], gossip: &LoadGossip) {
+    let bytes = gossip.encode_to_vec();
     for address in to {
         let _ = socket.try_send_to(&bytes, *address);
     }
--- a/crates/basilbank_gateway/src/lib.rs
+++ b/crates/basilbank_gateway/src/lib.rs
@@ -3,36 +3,36 @@
 //! All of it runs on one thread: a daemon has a fraction of a core, and a second thread would only
 //! add wake-ups. How a platform spells things is not known here; a [`Dialect`] says it.
 
-mod answer;
-mod body;
-mod calls;
+mod attempt;
+mod caller_listener;
+mod connections;
 mod dialect;
 mod digest;
-mod edge;
-mod findings;
 mod gateway;
-mod links;
+mod gossip;
 mod metrics;
-mod peers;
 mod progress;
 mod reader;
-mod reading;
 mod relay;
 mod request;
+mod request_body;
+mod response;
 mod router;
-mod side;
+mod source;
+mod status_listener;
+mod unusable;
 
-pub use answer::OwnAnswer;
+pub use attempt::strip_hop_by_hop;
 pub use basilbank::clock::SystemClock;
-pub use body::{BadBody, read_body};
-pub use calls::strip_hop_by_hop;
-pub use dialect::{BadCall, Dialect, Head, OutRequest};
+pub use connections::{CallError, Connection, ConnectionPool};
+pub use dialect::{AnswerKind, Dialect, InvalidCall, OutRequest};
 pub use digest::digest;
-pub use findings::{Finding, Findings};
 pub use gateway::{Addresses, Gateway};
-pub use links::{CallError, Link, Links};
 pub use metrics::Metrics;
 pub use progress::Progress;
 pub use reader::run as run_reader;
-pub use reading::{Read, ReadError, Reading, Source};
+pub use request_body::{BodyError, read_body};
+pub use response::ErrorResponse;
 pub use router::Router;
+pub use source::{ReadError, ReadFuture, Reading, Source};
+pub use unusable::{UnusableRecord, UnusableRecordLog};
--- a/crates/basilbank_gateway/src/reader.rs
+++ b/crates/basilbank_gateway/src/reader.rs
@@ -13,73 +13,73 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    findings::{Finding, Findings},
     progress::Progress,
-    reading::{Read, ReadError, Reading, Source},
     router::Router,
+    source::{ReadError, ReadFuture, Reading, Source},
+    unusable::{UnusableRecord, UnusableRecordLog},
 };
 
 /// Given to what has reached this process and was not taken in yet. A process that stood still finds
 /// its limits passed and the answer in its sockets; without this it would ask again for what is there.
-const SETTLE: Duration = Duration::from_millis(20);
+const SETTLE_TIME: Duration = Duration::from_millis(20);
 
 /// Reads a topic until the task is dropped.
 pub async fn run(router: Rc<Router>, topic: Topic, source: Source) {
-    let mut reader = Reader {
+    let mut reader = TopicReader {
         router,
         topic,
         source,
-        open: Vec::new(),
+        pending: Vec::new(),
         pages: Reading::default(),
-        findings: Findings::default(),
-        outrun: false,
+        unusable: UnusableRecordLog::default(),
+        is_newest_unusable: false,
     };
     reader.step(ReadEvent::Tick);
     loop {
-        match reader.next().await {
-            Some(ended) => reader.ended(ended),
+        match reader.next_ended().await {
+            Some(ended) => reader.handle_ended(ended),
             None => reader.step(ReadEvent::Tick),
         }
     }
 }
 
-struct Reader {
+struct TopicReader {
     router: Rc<Router>,
     topic: Topic,
     source: Source,
-    open: Vec<Open>,
+    pending: Vec<PendingRead>,
     /// Pages of everything that were read so far.
     pages: Reading,
     /// Entries that can't be used.
-    findings: Findings,
+    unusable: UnusableRecordLog,
     /// The newest configuration can't be used, so the one in force isn't the newest.
-    outrun: bool,
+    is_newest_unusable: bool,
 }
 
 /// A question that is open.
-struct Open {
+struct PendingRead {
     id: ReadId,
-    read: Read,
+    read: ReadFuture,
     progress: Progress,
     /// When it went out.
-    asked: Duration,
+    started_at: Duration,
     /// The progress that was told.
-    told: Option<Instant>,
+    reported_progress: Option<Instant>,
     is_page: bool,
 }
 
 /// A question that came to its end.
-struct Ended {
-    open: Open,
-    read: Result<Reading, ReadError>,
+struct EndedRead {
+    pending: PendingRead,
+    result: Result<Reading, ReadError>,
 }
 
-impl Reader {
+impl TopicReader {
     /// Waits for the next answer, or until it is time to look at the questions that are open.
-    async fn next(&mut self) -> Option<Ended> {
+    async fn next_ended(&mut self) -> Option<EndedRead> {
         let (router, topic) = (Rc::clone(&self.router), self.topic);
-        let pause = router.read_pause(topic);
-        let settle = if self.open.is_empty() { Duration::ZERO } else { SETTLE };
+        let pause = router.reader_pause(topic);
+        let settle = if self.pending.is_empty() { Duration::ZERO } else { SETTLE_TIME };
         let due = async {
             sleep(pause).await;
             // Counted from here: a process that stood still gets it, too.
@@ -89,14 +89,14 @@
             biased;
             ended = poll_fn(|context| self.poll(context)) => Some(ended),
             () = due => None,
-            () = router.read_nudge(topic) => None,
+            () = router.wait_for_wakeup(topic) => None,
         }
     }
 
-    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Ended> {
-        for index in 0..self.open.len() {
-            if let Poll::Ready(read) = self.open[index].read.as_mut().poll(context) {
-                return Poll::Ready(Ended { open: self.open.remove(index), read });
+    fn poll(&mut self, context: &mut Context<'_>) -> Poll<EndedRead> {
+        for index in 0..self.pending.len() {
+            if let Poll::Ready(result) = self.pending[index].read.as_mut().poll(context) {
+                return Poll::Ready(EndedRead { pending: self.pending.remove(index), result });
             }
         }
         Poll::Pending
@@ -105,118 +105,134 @@
     /// Tells the decisions what happened, and does what they say.
     fn step(&mut self, event: ReadEvent) {
         let mut effects = Vec::new();
-        for open in &mut self.open {
-            let got_on = open.progress.got_on();
-            if open.told != got_on {
-                open.told = got_on;
-                let ago = got_on.map_or(Duration::ZERO, |at| at.elapsed());
+        for pending in &mut self.pending {
+            let last_progress = pending.progress.last_progress();
+            if pending.reported_progress != last_progress {
+                pending.reported_progress = last_progress;
+                let ago = last_progress.map_or(Duration::ZERO, |at| at.elapsed());
                 let at = self.router.now().saturating_sub(ago);
-                let event = ReadEvent::GotOn { read: open.id, at, bytes: open.progress.bytes() };
+                let event =
+                    ReadEvent::Progress { read: pending.id, at, bytes: pending.progress.bytes() };
                 self.router.step_reader(self.topic, event, &mut effects);
             }
         }
         self.router.step_reader(self.topic, event, &mut effects);
         for effect in effects {
-            self.carry_out(effect);
+            self.run_effect(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: ReadEffect) {
+    fn run_effect(&mut self, effect: ReadEffect) {
         match effect {
-            ReadEffect::Ask(id, query) => {
-                self.router.metrics.store_asked(self.topic, query.why);
+            ReadEffect::Start(id, query) => {
+                self.router.metrics.count_store_read(self.topic, query.reason);
                 let is_page = matches!(query.scope, Scope::Page { .. });
-                if query.scope == (Scope::Page { from: String::new() }) {
+                if query.scope == (Scope::Page { page_token: String::new() }) {
                     self.pages = Reading::default();
                 }
                 let progress = Progress::default();
                 let read = (self.source)(query, progress.clone());
-                let asked = self.router.now();
-                self.open.push(Open { id, read, progress, asked, told: None, is_page });
+                let started_at = self.router.now();
+                self.pending.push(PendingRead {
+                    id,
+                    read,
+                    progress,
+                    started_at,
+                    reported_progress: None,
+                    is_page,
+                });
             }
-            ReadEffect::Drop { read, silent } => {
-                self.router.metrics.store_call(if silent { "failed" } else { "dropped" });
-                self.open.retain(|open| open.id != read);
+            ReadEffect::Close { read, timed_out } => {
+                self.router.metrics.count_store_call(if timed_out { "failed" } else { "dropped" });
+                self.pending.retain(|pending| pending.id != read);
             }
-            ReadEffect::Lost if self.topic == Topic::Endpoints => {
+            ReadEffect::StoreLost if self.topic == Topic::Endpoints => {
                 self.router.dispatch(Event::EndpointsReadFailed);
             }
-            ReadEffect::Lost => {}
-            ReadEffect::Disproved(revision) => {
+            ReadEffect::StoreLost => {}
+            ReadEffect::RevisionNotFound(revision) => {
                 self.router.dispatch(Event::RevisionNotFound { topic: self.topic, revision });
             }
-            ReadEffect::Note(note) => self.router.log(&note),
+            ReadEffect::Log(entry) => self.router.log(&entry),
         }
     }
 
-    fn ended(&mut self, Ended { open, read }: Ended) {
-        let came = match read {
+    fn handle_ended(&mut self, EndedRead { pending, result }: EndedRead) {
+        let outcome = match result {
             Ok(reading) => {
-                let era = self.router.reading_counts(self.topic, open.id, open.progress.era());
-                self.router.metrics.store_call(if era.is_some() { "read" } else { "other_era" });
-                self.took(&open, reading, era)
+                let era = self.router.accepted_era(self.topic, pending.id, pending.progress.era());
+                self.router.metrics.count_store_call(if era.is_some() {
+                    "read"
+                } else {
+                    "other_era"
+                });
+                self.handle_reading(&pending, reading, era)
             }
             Err(error) => {
-                self.router.metrics.store_call(error.as_str());
+                self.router.metrics.count_store_call(error.as_str());
                 match error {
-                    ReadError::HistoryGone => Came::HistoryGone,
-                    ReadError::TooLong => Came::TooLong,
-                    ReadError::Failed(error) => Came::Failed(error),
+                    ReadError::HistoryGone => ReadOutcome::HistoryGone,
+                    ReadError::TooLong => ReadOutcome::TooLong,
+                    ReadError::Failed(error) => ReadOutcome::Failed(error),
                 }
             }
         };
-        let era = open.progress.era();
-        self.step(ReadEvent::Came { read: open.id, era, came });
+        let era = pending.progress.era();
+        self.step(ReadEvent::Ended { read: pending.id, era, outcome });
     }
 
     /// Takes an answer in, if it counts in an era of the store.
-    fn took(&mut self, open: &Open, mut reading: Reading, era: Option<u64>) -> Came {
-        let findings = std::mem::take(&mut reading.findings);
-        self.tell(&findings);
-        let came = Came::Answer {
-            store: reading.at.store.number,
+    fn handle_reading(
+        &mut self,
+        pending: &PendingRead,
+        mut reading: Reading,
+        era: Option<u64>,
+    ) -> ReadOutcome {
+        let unusable = std::mem::take(&mut reading.unusable);
+        self.report_unusable(&unusable);
+        let outcome = ReadOutcome::Answer {
+            store_revision: reading.revisions.store.number,
             // A change that can't be used is one, too: it costs the same.
-            changed: !reading.at.latest_change.is_none() || !findings.is_empty(),
-            next: reading.next.clone(),
-            bytes: open.progress.bytes(),
+            changed: !reading.revisions.latest_change.is_none() || !unusable.is_empty(),
+            next_page: reading.next_page.clone(),
+            bytes: pending.progress.bytes(),
         };
-        let Some(era) = era else { return came };
-        reading.at = reading.at.with_era(era);
-        if open.is_page {
+        let Some(era) = era else { return outcome };
+        reading.revisions = reading.revisions.with_era(era);
+        if pending.is_page {
             self.pages.append(reading);
-            if self.pages.next.is_some() {
-                return came;
+            if self.pages.next_page.is_some() {
+                return outcome;
             }
             reading = std::mem::take(&mut self.pages);
         }
-        if let Some(line) = self.findings.end() {
+        if let Some(line) = self.unusable.finish_read() {
             log::warn!("{}", line.with("topic", self.topic.as_str()));
         }
-        let Reading { at: read, table, listed, gone, .. } = reading;
-        self.outrun = table.is_none() && (self.outrun || !findings.is_empty());
+        let Reading { revisions, table, endpoints, removed, .. } = reading;
+        self.is_newest_unusable =
+            table.is_none() && (self.is_newest_unusable || !unusable.is_empty());
         self.router.dispatch(match self.topic {
-            Topic::Routes => Event::RoutesRead { revisions: read, table: table.map(Arc::new) },
-            Topic::Endpoints if open.is_page => {
-                Event::EndpointsRead { revisions: read, list: listed }
-            }
-            Topic::Endpoints => {
-                Event::EndpointsChanged { revisions: read, updated: listed, removed: gone }
+            Topic::Routes => Event::RoutesRead { revisions, table: table.map(Arc::new) },
+            Topic::Endpoints if pending.is_page => {
+                Event::EndpointsRead { revisions, list: endpoints }
             }
+            Topic::Endpoints => Event::EndpointsChanged { revisions, updated: endpoints, removed },
         });
-        if self.topic == Topic::Routes && !self.outrun {
-            self.router.dispatch(Event::RoutesConfirmed { asked_at: open.asked });
+        if self.topic == Topic::Routes && !self.is_newest_unusable {
+            self.router.dispatch(Event::RoutesConfirmed { asked_at: pending.started_at });
         }
-        came
+        outcome
     }
 
     /// Counts and tells what can't be used.
-    fn tell(&mut self, findings: &[Finding]) {
-        for finding in findings {
-            if !self.findings.is_new(finding) {
+    fn report_unusable(&mut self, records: &[UnusableRecord]) {
+        for record in records {
+            if !self.unusable.is_new(record) {
                 continue;
             }
-            self.router.metrics.unusable_entry(finding.reason);
-            if let Some(line) = self.findings.line(finding) {
+            self.router.metrics.count_unusable_record(record.reason);
+            if let Some(line) = self.unusable.log_line(record) {
                 log::warn!("{}", line.with("topic", self.topic.as_str()));
             }
         }
--- a/crates/basilbank_gateway/src/relay.rs
+++ b/crates/basilbank_gateway/src/relay.rs
@@ -8,94 +8,106 @@
 use hyper::body::{Frame, Incoming};
 use tokio::{sync::mpsc, time::timeout};
 
-use crate::{answer::Piece, calls::Stream, router::Router};
+use crate::{attempt::AnswerStream, response::Chunk, router::Router};
 
 /// Largest event that is kept back until it is whole.
-const EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// How a stream ended.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Ended {
+pub struct RelayEnd {
     /// It ended whole.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The id of the last event that was passed on whole.
-    pub last: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// Passes whole events on, so that a stream can go on elsewhere without a torn event between.
-pub async fn relay(router: Rc<Router>, stream: Stream, pieces: mpsc::Sender<Piece>) -> Ended {
-    let Stream { mut body, link, kept, stall, target, .. } = stream;
-    let mut events = Events::default();
-    while let Some(frame) = next(&router, &target, &mut body, stall).await {
-        let Ok(frame) = frame else { return Ended { whole: false, last: events.last } };
+pub async fn relay(
+    router: Rc<Router>,
+    stream: AnswerStream,
+    chunks: mpsc::Sender<Chunk>,
+) -> RelayEnd {
+    let AnswerStream { mut body, connection, keep_alive, stall_timeout, target, .. } = stream;
+    let mut events = EventSplitter::default();
+    while let Some(frame) = next_frame(&router, &target, &mut body, stall_timeout).await {
+        let Ok(frame) = frame else {
+            return RelayEnd { is_complete: false, last_event_id: events.last_event_id };
+        };
         let Ok(data) = frame.into_data() else { continue };
-        let ready = events.take(&data);
-        if !ready.is_empty() && pieces.send(Piece::Data(ready)).await.is_err() {
-            return Ended { whole: false, last: events.last };
+        let ready = events.push(&data);
+        if !ready.is_empty() && chunks.send(Chunk::Data(ready)).await.is_err() {
+            return RelayEnd { is_complete: false, last_event_id: events.last_event_id };
         }
-        if EVENT < events.partial.len() {
-            return Ended { whole: false, last: events.last };
+        if MAX_EVENT_BYTES < events.partial.len() {
+            return RelayEnd { is_complete: false, last_event_id: events.last_event_id };
         }
     }
-    if let Some(kept) = kept {
-        router.links.keep(target.endpoint, link, kept);
+    if let Some(keep_alive) = keep_alive {
+        router.connections.keep(target.endpoint, connection, keep_alive);
     }
     let rest = events.partial.split().freeze();
-    let whole = rest.is_empty() || pieces.send(Piece::Data(rest)).await.is_ok();
-    Ended { whole, last: events.last }
+    let is_complete = rest.is_empty() || chunks.send(Chunk::Data(rest)).await.is_ok();
+    RelayEnd { is_complete, last_event_id: events.last_event_id }
 }
 
 /// The next frame; an error when the stream is silent and its endpoint too.
-async fn next(
+async fn next_frame(
     router: &Router,
     target: &Target,
     body: &mut Incoming,
-    stall: Option<Duration>,
-) -> Option<Result<Frame<Bytes>, Broken>> {
-    let Some(stall) = stall else { return body.frame().await.map(|f| f.map_err(|_| Broken)) };
+    stall_timeout: Option<Duration>,
+) -> Option<Result<Frame<Bytes>, StreamBroken>> {
+    let Some(stall_timeout) = stall_timeout else {
+        return body.frame().await.map(|f| f.map_err(|_| StreamBroken));
+    };
     loop {
-        if let Ok(frame) = timeout(stall, body.frame()).await {
-            return frame.map(|frame| frame.map_err(|_| Broken));
+        if let Ok(frame) = timeout(stall_timeout, body.frame()).await {
+            return frame.map(|frame| frame.map_err(|_| StreamBroken));
         }
-        if !router.links.lives(target, (router.dialect.alive)(&target.instance)).await {
-            return Some(Err(Broken));
+        if !router
+            .connections
+            .is_alive(target, (router.dialect.liveness_request)(&target.instance))
+            .await
+        {
+            return Some(Err(StreamBroken));
         }
     }
 }
 
 /// The stream broke off, or is silent.
-struct Broken;
+struct StreamBroken;
 
 /// Cuts a stream of bytes into whole events.
 #[derive(Debug, Default)]
-struct Events {
+struct EventSplitter {
     partial: BytesMut,
-    last: Option<String>,
+    last_event_id: Option<String>,
 }
 
-impl Events {
+impl EventSplitter {
     /// All events that are whole by now. A blank line ends an event.
-    fn take(&mut self, data: &[u8]) -> Bytes {
+    fn push(&mut self, data: &[u8]) -> Bytes {
         let from = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(data);
-        let Some(end) = last_end(&self.partial[from..]) else { return Bytes::new() };
+        let Some(end) = last_event_end(&self.partial[from..]) else { return Bytes::new() };
         let ready = self.partial.split_to(from + end).freeze();
-        if let Some(id) = last_id(&ready) {
-            self.last = Some(id);
+        if let Some(id) = last_event_id(&ready) {
+            self.last_event_id = Some(id);
         }
         ready
     }
 }
 
 /// Where the last blank line ends.
-fn last_end(bytes: &[u8]) -> Option<usize> {
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let plain = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
     let crlf = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
     plain.max(crlf)
 }
 
 /// The id of the last event that has one.
-fn last_id(events: &[u8]) -> Option<String> {
+fn last_event_id(events: &[u8]) -> Option<String> {
     let lines = events.split(|byte| *byte == b'\n').rev();
     let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
     Some(String::from_utf8_lossy(id.trim_ascii()).into_owned())
--- a/crates/basilbank_gateway/src/request.rs
+++ b/crates/basilbank_gateway/src/request.rs
@@ -10,147 +10,148 @@
 };
 
 use crate::{
-    answer::{OutBody, OwnAnswer, Piece, passed_on},
-    body::{BadBody, read_body},
-    calls::{Came, Original, Parked, carry_out},
+    attempt::{AttemptResult, CallerRequest, PendingAnswer, run_attempt},
     digest::digest,
-    relay::{Ended, relay},
-    router::{Router, Step},
+    relay::{RelayEnd, relay},
+    request_body::{BodyError, read_body},
+    response::{Chunk, ErrorResponse, ResponseBody, forwarded_response},
+    router::{RequestEffect, Router},
 };
 
 /// Pieces of a stream that may wait for a slow caller.
-const PIECES: usize = 32;
+const MAX_QUEUED_CHUNKS: usize = 32;
 
 /// Serves one request.
-pub async fn serve(router: Rc<Router>, request: Request<Incoming>) -> Response<OutBody> {
+pub async fn serve(router: Rc<Router>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (head, body) = request.into_parts();
-    let most = router.read(|state| state.routes.limits.body_bytes);
-    let body = match read_body(body, most).await {
+    let max_bytes = router.read(|state| state.routes.limits.body_bytes);
+    let body = match read_body(body, max_bytes).await {
         Ok(body) => body,
-        Err(bad) => {
-            let answer = router.read(|state| unless_outdated(bad_body(bad), state));
+        Err(error) => {
+            let answer = router.read(|state| retry_if_outdated(body_error_response(error), state));
             return refuse_early(&router, &answer, "");
         }
     };
-    let (id, steps) = router.register();
-    let call = match (router.dialect.call)(id, &head) {
+    let (id, effects) = router.register();
+    let call = match (router.dialect.parse_call)(id, &head) {
         Ok(call) => Call { digest: digest(&head, &body), ..call },
-        Err(bad) => {
+        Err(error) => {
             router.unregister(id);
-            let answer = OwnAnswer::new(StatusCode::BAD_REQUEST, bad.finding);
-            return refuse_early(&router, &answer, &bad.trace);
+            let answer = ErrorResponse::new(StatusCode::BAD_REQUEST, error.reason);
+            return refuse_early(&router, &answer, &error.trace_id);
         }
     };
-    let original = Rc::new(Original { call, head, body });
-    let (front, answer) = oneshot::channel();
-    let drive = Drive {
+    let caller_request = Rc::new(CallerRequest { call, head, body });
+    let (sender, response) = oneshot::channel();
+    let task = RequestTask {
         router: Rc::clone(&router),
         id,
-        original,
-        steps,
-        work: JoinSet::new(),
+        caller_request,
+        effects,
+        tasks: JoinSet::new(),
         running: HashMap::new(),
-        parked: HashMap::new(),
-        front: Front::Waiting(front),
-        last: None,
+        pending: HashMap::new(),
+        responder: Responder::Waiting(sender),
+        last_event_id: None,
     };
-    spawn_local(drive.run());
+    spawn_local(task.run());
     // The task always answers; it would only be gone after a panic.
-    let lost = || OwnAnswer::new(StatusCode::INTERNAL_SERVER_ERROR, "lost").response();
-    answer.await.unwrap_or_else(|_| lost())
+    let internal_error =
+        || ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, "lost").to_response();
+    response.await.unwrap_or_else(|_| internal_error())
 }
 
 /// The answer to a body that can't be used.
-fn bad_body(bad: BadBody) -> OwnAnswer {
-    match bad {
-        BadBody::TooLong => OwnAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large"),
-        BadBody::Broken => OwnAnswer::new(StatusCode::BAD_REQUEST, "bad_body"),
-        BadBody::Slow => OwnAnswer::new(StatusCode::REQUEST_TIMEOUT, "slow_body"),
+fn body_error_response(error: BodyError) -> ErrorResponse {
+    match error {
+        BodyError::TooLong => ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large"),
+        BodyError::Broken => ErrorResponse::new(StatusCode::BAD_REQUEST, "bad_body"),
+        BodyError::TooSlow => ErrorResponse::new(StatusCode::REQUEST_TIMEOUT, "slow_body"),
     }
 }
 
 /// Too long by a configuration that is no longer in force may be allowed: the caller may come back.
-fn unless_outdated(answer: OwnAnswer, state: &State) -> OwnAnswer {
+fn retry_if_outdated(answer: ErrorResponse, state: &State) -> ErrorResponse {
     if answer.status != StatusCode::PAYLOAD_TOO_LARGE || !state.is_configuration_outdated() {
         return answer;
     }
-    let later = OwnAnswer::new(StatusCode::SERVICE_UNAVAILABLE, Refusal::Outdated.as_str());
-    later.with_after(Some(state.tuning.retry_after))
+    let response = ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, Refusal::Outdated.as_str());
+    response.with_retry_after(Some(state.tuning.retry_after))
 }
 
 /// Refuses a request that the decisions never heard of.
-fn refuse_early(router: &Router, answer: &OwnAnswer, trace: &str) -> Response<OutBody> {
-    router.metrics.refused_early(answer.reason);
+fn refuse_early(router: &Router, answer: &ErrorResponse, trace_id: &str) -> Response<ResponseBody> {
+    router.metrics.count_refused_early(answer.reason);
     let line = basilbank::logs::Line::new("refused_early")
-        .with("request", trace)
+        .with("request", trace_id)
         .with("reason", answer.reason);
     log::info!("{line}");
-    answer.response()
+    answer.to_response()
 }
 
 /// Where the answer goes.
-enum Front {
+enum Responder {
     /// Nothing has been sent to the caller.
-    Waiting(oneshot::Sender<Response<OutBody>>),
+    Waiting(oneshot::Sender<Response<ResponseBody>>),
     /// A stream is being sent.
-    Streaming(mpsc::Sender<Piece>),
+    Streaming(mpsc::Sender<Chunk>),
     /// All has been handed over.
     Done,
 }
 
-impl Front {
+impl Responder {
     /// The caller left.
     async fn closed(&mut self) {
         match self {
-            Front::Waiting(front) => front.closed().await,
-            Front::Streaming(pieces) => pieces.closed().await,
-            Front::Done => std::future::pending().await,
+            Responder::Waiting(sender) => sender.closed().await,
+            Responder::Streaming(chunks) => chunks.closed().await,
+            Responder::Done => std::future::pending().await,
         }
     }
 }
 
 /// What a piece of the task's work came to.
-enum Worked {
-    Came(Came),
-    Ended(Ended),
+enum TaskResult {
+    Attempt(AttemptResult),
+    Relay(RelayEnd),
 }
 
 /// The task of one request.
-struct Drive {
+struct RequestTask {
     router: Rc<Router>,
     id: RequestId,
-    original: Rc<Original>,
-    steps: mpsc::UnboundedReceiver<Step>,
-    work: JoinSet<(u32, Worked)>,
+    caller_request: Rc<CallerRequest>,
+    effects: mpsc::UnboundedReceiver<RequestEffect>,
+    tasks: JoinSet<(u32, TaskResult)>,
     running: HashMap<u32, AbortHandle>,
-    parked: HashMap<u32, Option<Parked>>,
-    front: Front,
-    last: Option<String>,
+    pending: HashMap<u32, Option<PendingAnswer>>,
+    responder: Responder,
+    last_event_id: Option<String>,
 }
 
 /// Whether the task goes on.
 enum Flow {
-    On,
-    Over,
+    Continue,
+    Stop,
 }
 
-impl Drive {
+impl RequestTask {
     async fn run(mut self) {
-        let call = Box::new(self.original.call.clone());
+        let call = Box::new(self.caller_request.call.clone());
         self.router.dispatch(Event::Arrived(call));
         loop {
             let flow = tokio::select! {
                 biased;
-                step = self.steps.recv() => self.take(step),
-                () = self.front.closed() => Flow::Over,
-                Some(worked) = self.work.join_next() => {
-                    if let Ok((number, worked)) = worked {
-                        self.worked(number, worked);
+                effect = self.effects.recv() => self.handle_effect(effect),
+                () = self.responder.closed() => Flow::Stop,
+                Some(result) = self.tasks.join_next() => {
+                    if let Ok((number, result)) = result {
+                        self.handle_result(number, result);
                     }
-                    Flow::On
+                    Flow::Continue
                 }
             };
-            if matches!(flow, Flow::Over) {
+            if matches!(flow, Flow::Stop) {
                 break;
             }
         }
@@ -159,53 +160,53 @@
         self.router.unregister(self.id);
     }
 
-    fn take(&mut self, step: Option<Step>) -> Flow {
-        match step {
-            None => Flow::Over,
-            Some(Step::Start(attempt)) => self.start(attempt),
-            Some(Step::Stop(number)) => self.stop(number),
-            Some(Step::Deliver(number)) => self.deliver(number),
-            Some(Step::Refuse(refusal, after)) => self.refuse(refusal, after),
-            Some(Step::Cut) => Flow::Over,
+    fn handle_effect(&mut self, effect: Option<RequestEffect>) -> Flow {
+        match effect {
+            None => Flow::Stop,
+            Some(RequestEffect::Start(attempt)) => self.start(attempt),
+            Some(RequestEffect::Stop(number)) => self.stop(number),
+            Some(RequestEffect::Deliver(number)) => self.deliver(number),
+            Some(RequestEffect::Refuse(refusal, retry_after)) => self.refuse(refusal, retry_after),
+            Some(RequestEffect::AbortStream) => Flow::Stop,
         }
     }
 
     fn start(&mut self, attempt: Attempt) -> Flow {
         let number = attempt.number;
-        self.parked.insert(number, None);
-        let (router, original) = (Rc::clone(&self.router), Rc::clone(&self.original));
-        let last = self.last.clone();
-        let work = async move {
-            let came = carry_out(router, original, attempt, last).await;
-            (number, Worked::Came(came))
+        self.pending.insert(number, None);
+        let (router, caller_request) = (Rc::clone(&self.router), Rc::clone(&self.caller_request));
+        let last_event_id = self.last_event_id.clone();
+        let task = async move {
+            let result = run_attempt(router, caller_request, attempt, last_event_id).await;
+            (number, TaskResult::Attempt(result))
         };
-        let handle = self.work.spawn_local(work);
+        let handle = self.tasks.spawn_local(task);
         self.running.insert(number, handle);
-        Flow::On
+        Flow::Continue
     }
 
     fn stop(&mut self, number: u32) -> Flow {
         if let Some(handle) = self.running.remove(&number) {
             handle.abort();
         }
-        self.parked.remove(&number);
-        Flow::On
+        self.pending.remove(&number);
+        Flow::Continue
     }
 
-    fn worked(&mut self, number: u32, worked: Worked) {
+    fn handle_result(&mut self, number: u32, result: TaskResult) {
         self.running.remove(&number);
-        let outcome = match worked {
-            Worked::Came(came) => {
-                if let Some(parked) = self.parked.get_mut(&number) {
-                    *parked = came.parked;
+        let outcome = match result {
+            TaskResult::Attempt(result) => {
+                if let Some(pending) = self.pending.get_mut(&number) {
+                    *pending = result.pending;
                 }
-                came.outcome
+                result.outcome
             }
-            Worked::Ended(ended) => {
-                if ended.last.is_some() {
-                    self.last = ended.last;
+            TaskResult::Relay(ended) => {
+                if ended.last_event_id.is_some() {
+                    self.last_event_id = ended.last_event_id;
                 }
-                match ended.whole {
+                match ended.is_complete {
                     true => Outcome::Finished,
                     false => Outcome::Broken(Damage::CutOff),
                 }
@@ -215,68 +216,70 @@
         let event = Event::AttemptOutcome { request: self.id, attempt: number, outcome };
         self.router.dispatch(event);
         if finished {
-            self.finish();
+            self.finish_stream();
         }
     }
 
     /// Ends the stream whole. The channel has room, or the caller is slow and gets the end later.
-    fn finish(&mut self) {
-        let Front::Streaming(pieces) = std::mem::replace(&mut self.front, Front::Done) else {
+    fn finish_stream(&mut self) {
+        let Responder::Streaming(chunks) = std::mem::replace(&mut self.responder, Responder::Done)
+        else {
             return;
         };
-        spawn_local(async move { drop(pieces.send(Piece::End).await) });
-        self.steps.close();
+        spawn_local(async move { drop(chunks.send(Chunk::End).await) });
+        self.effects.close();
     }
 
     fn deliver(&mut self, number: u32) -> Flow {
-        let Some(Some(parked)) = self.parked.remove(&number) else { return Flow::On };
-        match parked {
-            Parked::Whole(answer) => {
-                let body = OutBody::Whole(Some(answer.body));
-                self.answer(passed_on(answer.status, answer.headers, body));
-                Flow::Over
+        let Some(Some(pending)) = self.pending.remove(&number) else { return Flow::Continue };
+        match pending {
+            PendingAnswer::Full(answer) => {
+                let body = ResponseBody::Full(Some(answer.body));
+                self.respond(forwarded_response(answer.status, answer.headers, body));
+                Flow::Stop
             }
-            Parked::Stream(stream) => {
-                self.stream(number, *stream);
-                Flow::On
+            PendingAnswer::Stream(stream) => {
+                self.relay_stream(number, *stream);
+                Flow::Continue
             }
         }
     }
 
-    fn stream(&mut self, number: u32, mut stream: crate::calls::Stream) {
-        let pieces = match &self.front {
-            Front::Streaming(pieces) => pieces.clone(),
-            Front::Waiting(_) | Front::Done => {
-                let (sender, receiver) = mpsc::channel(PIECES);
+    fn relay_stream(&mut self, number: u32, mut stream: crate::attempt::AnswerStream) {
+        let chunks = match &self.responder {
+            Responder::Streaming(chunks) => chunks.clone(),
+            Responder::Waiting(_) | Responder::Done => {
+                let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
                 let mut headers = std::mem::take(&mut stream.headers);
                 // The stream may go on elsewhere, so its length is open.
                 headers.remove(CONTENT_LENGTH);
-                let body = OutBody::Pieces(receiver);
-                self.answer(passed_on(stream.status, headers, body));
-                self.front = Front::Streaming(sender.clone());
+                let body = ResponseBody::Chunks(receiver);
+                self.respond(forwarded_response(stream.status, headers, body));
+                self.responder = Responder::Streaming(sender.clone());
                 sender
             }
         };
         let router = Rc::clone(&self.router);
-        let work = async move {
-            let ended = relay(router, stream, pieces).await;
-            (number, Worked::Ended(ended))
+        let task = async move {
+            let ended = relay(router, stream, chunks).await;
+            (number, TaskResult::Relay(ended))
         };
-        let handle = self.work.spawn_local(work);
+        let handle = self.tasks.spawn_local(task);
         self.running.insert(number, handle);
     }
 
-    fn refuse(&mut self, refusal: Refusal, after: Option<Duration>) -> Flow {
-        let status = (self.router.dialect.status)(refusal);
-        let answer = OwnAnswer::new(status, refusal.as_str()).with_after(after);
-        self.answer(answer.response());
-        Flow::Over
+    fn refuse(&mut self, refusal: Refusal, retry_after: Option<Duration>) -> Flow {
+        let status = (self.router.dialect.refusal_status)(refusal);
+        let answer = ErrorResponse::new(status, refusal.as_str()).with_retry_after(retry_after);
+        self.respond(answer.to_response());
+        Flow::Stop
     }
 
-    fn answer(&mut self, response: Response<OutBody>) {
-        if let Front::Waiting(front) = std::mem::replace(&mut self.front, Front::Done) {
+    fn respond(&mut self, response: Response<ResponseBody>) {
+        if let Responder::Waiting(sender) = std::mem::replace(&mut self.responder, Responder::Done)
+        {
             // A caller that has just left needs no answer.
-            let _ = front.send(response);
+            let _ = sender.send(response);
         }
     }
 }
--- a/crates/basilbank_gateway/src/body.rs
+++ b/crates/basilbank_gateway/src/request_body.rs
@@ -9,43 +9,43 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Time for a body besides what its bytes earn.
-const TIME: Duration = Duration::from_secs(10);
+const BASE_TIME: Duration = Duration::from_secs(10);
 
 /// Why a body is not had.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum BadBody {
+pub enum BodyError {
     /// It is longer than allowed.
     TooLong,
     /// It broke off, or is framed wrongly.
     Broken,
     /// It comes too slowly.
-    Slow,
+    TooSlow,
 }
 
 /// Reads a body of at most so many bytes.
 ///
 /// # Errors
 /// There is none that can be used. One that says that it is too long isn't waited for.
-pub async fn read_body<B>(body: B, most: usize) -> Result<Bytes, BadBody>
+pub async fn read_body<B>(body: B, max_bytes: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    if (most as u64) < body.size_hint().lower() {
-        return Err(BadBody::TooLong);
+    if (max_bytes as u64) < body.size_hint().lower() {
+        return Err(BodyError::TooLong);
     }
     let (mut body, mut bytes) = (body, BytesMut::new());
-    let begun = Instant::now();
+    let start = Instant::now();
     loop {
-        let end = begun + time_for(TIME, bytes.len());
-        let frame = match timeout_at(end, body.frame()).await {
-            Err(_) => return Err(BadBody::Slow),
+        let deadline = start + time_for(BASE_TIME, bytes.len());
+        let frame = match timeout_at(deadline, body.frame()).await {
+            Err(_) => return Err(BodyError::TooSlow),
             Ok(None) => return Ok(bytes.freeze()),
-            Ok(Some(Err(_))) => return Err(BadBody::Broken),
+            Ok(Some(Err(_))) => return Err(BodyError::Broken),
             Ok(Some(Ok(frame))) => frame,
         };
         let data = frame.into_data().unwrap_or_default();
-        if most < bytes.len() + data.len() {
-            return Err(BadBody::TooLong);
+        if max_bytes < bytes.len() + data.len() {
+            return Err(BodyError::TooLong);
         }
         bytes.extend_from_slice(&data);
     }
--- a/crates/basilbank_gateway/src/answer.rs
+++ b/crates/basilbank_gateway/src/response.rs
@@ -18,7 +18,7 @@
 
 /// A piece of a stream.
 #[derive(Debug)]
-pub enum Piece {
+pub enum Chunk {
     /// Some bytes.
     Data(Bytes),
     /// The stream ended whole.
@@ -27,102 +27,102 @@
 
 /// The body of an answer.
 #[derive(Debug)]
-pub enum OutBody {
+pub enum ResponseBody {
     /// All at once.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Piece by piece.
-    Pieces(mpsc::Receiver<Piece>),
+    Chunks(mpsc::Receiver<Chunk>),
 }
 
 /// A stream was given up midway. The connection must end so that it doesn't look complete.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Cut;
+pub struct StreamAborted;
 
-impl fmt::Display for Cut {
+impl fmt::Display for StreamAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the stream was cut")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for StreamAborted {}
 
-impl From<Infallible> for Cut {
-    fn from(never: Infallible) -> Cut {
-        match never {}
+impl From<Infallible> for StreamAborted {
+    fn from(error: Infallible) -> StreamAborted {
+        match error {}
     }
 }
 
-impl Body for OutBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = StreamAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamAborted>>> {
         match self.get_mut() {
-            OutBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
             // A channel that closes without an end means that the stream's task is gone: were that
             // an end, half a stream would look complete.
-            OutBody::Pieces(pieces) => match ready!(pieces.poll_recv(cx)) {
-                Some(Piece::Data(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-                Some(Piece::End) => Poll::Ready(None),
-                None => Poll::Ready(Some(Err(Cut))),
+            ResponseBody::Chunks(chunks) => match ready!(chunks.poll_recv(cx)) {
+                Some(Chunk::Data(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
+                Some(Chunk::End) => Poll::Ready(None),
+                None => Poll::Ready(Some(Err(StreamAborted))),
             },
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, OutBody::Whole(None))
+        matches!(self, ResponseBody::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            OutBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            OutBody::Pieces(_) => SizeHint::default(),
+            ResponseBody::Chunks(_) => SizeHint::default(),
         }
     }
 }
 
 /// An answer of the router's own.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct OwnAnswer {
+pub struct ErrorResponse {
     /// The status.
     pub status: StatusCode,
     /// Its stable reason.
     pub reason: &'static str,
     /// When another try may succeed.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
-impl OwnAnswer {
+impl ErrorResponse {
     /// An answer with a status and a reason.
     #[must_use]
-    pub fn new(status: StatusCode, reason: &'static str) -> OwnAnswer {
-        OwnAnswer { status, reason, after: None }
+    pub fn new(status: StatusCode, reason: &'static str) -> ErrorResponse {
+        ErrorResponse { status, reason, retry_after: None }
     }
 
     /// With a time to come back.
     #[must_use]
-    pub fn with_after(mut self, after: Option<Duration>) -> OwnAnswer {
-        self.after = after;
+    pub fn with_retry_after(mut self, after: Option<Duration>) -> ErrorResponse {
+        self.retry_after = after;
         self
     }
 
     /// The response.
     #[must_use]
-    pub fn response(&self) -> Response<OutBody> {
+    pub fn to_response(&self) -> Response<ResponseBody> {
         let body = Bytes::from(format!("{{\"error\":\"{}\"}}\n", self.reason));
-        let mut response = Response::new(OutBody::Whole(Some(body)));
+        let mut response = Response::new(ResponseBody::Full(Some(body)));
         *response.status_mut() = self.status;
         let json = hyper::header::HeaderValue::from_static("application/json");
         response.headers_mut().insert(CONTENT_TYPE, json);
-        if let Some(after) = self.after {
+        if let Some(after) = self.retry_after {
             let seconds = format!("{:.3}", after.as_secs_f64());
             if let Ok(value) = seconds.parse() {
                 response.headers_mut().insert(RETRY_AFTER, value);
@@ -134,7 +134,11 @@
 
 /// An endpoint's answer, as it is passed on.
 #[must_use]
-pub fn passed_on(status: StatusCode, headers: HeaderMap, body: OutBody) -> Response<OutBody> {
+pub fn forwarded_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
--- a/crates/basilbank_gateway/src/router.rs
+++ b/crates/basilbank_gateway/src/router.rs
@@ -19,25 +19,25 @@
 };
 
 use crate::{
-    calls::send_off,
+    attempt::send_control,
+    connections::{CallError, ConnectionPool},
     dialect::{Dialect, OutRequest},
-    links::{CallError, Links},
+    gossip,
     metrics::Metrics,
-    peers,
 };
 
 /// Longest sleep of the timer.
-const IDLE: Duration = Duration::from_millis(500);
+const MAX_TIMER_SLEEP: Duration = Duration::from_millis(500);
 
 /// Limit of calls that give something back: some round trips.
-const GIVE_BACK: Duration = Duration::from_millis(300);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Limit of an order.
-const ORDER: Duration = Duration::from_millis(1000);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// An effect for one request's task.
 #[derive(Debug)]
-pub enum Step {
+pub enum RequestEffect {
     /// Carry an attempt out.
     Start(Attempt),
     /// Stop an attempt.
@@ -47,7 +47,7 @@
     /// Answer with a refusal or failure.
     Refuse(Refusal, Option<Duration>),
     /// End a stream that can't be finished.
-    Cut,
+    AbortStream,
 }
 
 /// The one place that runs the reducer.
@@ -55,17 +55,17 @@
     /// How the platform spells things.
     pub dialect: Dialect,
     /// Connections to endpoints.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Counters and histograms.
     pub metrics: Arc<Metrics>,
     state: RefCell<State>,
     clock: Box<dyn Clock>,
-    steps: RefCell<HashMap<RequestId, mpsc::UnboundedSender<Step>>>,
-    next: Cell<u64>,
-    changed: Notify,
+    request_effects: RefCell<HashMap<RequestId, mpsc::UnboundedSender<RequestEffect>>>,
+    next_id: Cell<u64>,
+    timer_changed: Notify,
     readers: RefCell<Readers>,
     /// There are news for a topic's reader.
-    nudges: PerTopic<Notify>,
+    reader_wakeups: PerTopic<Notify>,
     socket: OnceCell<Rc<UdpSocket>>,
 }
 
@@ -86,44 +86,44 @@
     ) -> Rc<Router> {
         Rc::new(Router {
             dialect,
-            links: Links::default(),
+            connections: ConnectionPool::default(),
             metrics,
             state: RefCell::new(state),
             clock,
-            steps: RefCell::default(),
-            next: Cell::new(0),
-            changed: Notify::new(),
+            request_effects: RefCell::default(),
+            next_id: Cell::new(0),
+            timer_changed: Notify::new(),
             readers: RefCell::default(),
-            nudges: PerTopic::default(),
+            reader_wakeups: PerTopic::default(),
             socket: OnceCell::new(),
         })
     }
 
     /// Talks to peers over this socket from now on.
-    pub fn talk(self: &Rc<Self>, socket: UdpSocket) {
+    pub fn start_gossip(self: &Rc<Self>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         if self.socket.set(Rc::clone(&socket)).is_ok() {
-            spawn_local(peers::hear(Rc::clone(self), socket));
+            spawn_local(gossip::receive(Rc::clone(self), socket));
         }
     }
 
     /// A number for a request that comes in, and its effects.
-    pub fn register(&self) -> (RequestId, mpsc::UnboundedReceiver<Step>) {
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
-        let (sender, steps) = mpsc::unbounded_channel();
-        self.steps.borrow_mut().insert(id, sender);
-        (id, steps)
+    pub fn register(&self) -> (RequestId, mpsc::UnboundedReceiver<RequestEffect>) {
+        let id = RequestId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
+        let (sender, effects) = mpsc::unbounded_channel();
+        self.request_effects.borrow_mut().insert(id, sender);
+        (id, effects)
     }
 
     /// The request's task is over.
     pub fn unregister(&self, id: RequestId) {
-        self.steps.borrow_mut().remove(&id);
+        self.request_effects.borrow_mut().remove(&id);
     }
 
     /// Reads the state.
-    pub fn read<T>(&self, read: impl FnOnce(&State) -> T) -> T {
-        read(&self.state.borrow())
+    pub fn read<T>(&self, f: impl FnOnce(&State) -> T) -> T {
+        f(&self.state.borrow())
     }
 
     /// The monotonic time.
@@ -133,31 +133,31 @@
 
     /// Runs the decisions about reads of a topic for one event.
     pub fn step_reader(&self, topic: Topic, event: ReadEvent, effects: &mut Vec<ReadEffect>) {
-        let around = self.state.borrow_mut().reader_context(topic);
+        let context = self.state.borrow_mut().reader_context(topic);
         let mut readers = self.readers.borrow_mut();
-        if readers.step(topic, self.now(), around, event, effects) {
-            self.nudges.get(topic.other()).notify_one();
+        if readers.step(topic, self.now(), context, event, effects) {
+            self.reader_wakeups.get(topic.other()).notify_one();
         }
     }
 
     /// The store's era in which an answer counts; `None` if it doesn't.
-    pub fn reading_counts(&self, topic: Topic, read: ReadId, era: Option<u64>) -> Option<u64> {
-        self.readers.borrow().counts(topic, read, era)
+    pub fn accepted_era(&self, topic: Topic, read: ReadId, era: Option<u64>) -> Option<u64> {
+        self.readers.borrow().accepted_era(topic, read, era)
     }
 
     /// How long nothing is to be done about a topic's reads, unless something happens.
-    pub fn read_pause(&self, topic: Topic) -> Duration {
+    pub fn reader_pause(&self, topic: Topic) -> Duration {
         self.readers.borrow().wake_at(topic).saturating_sub(self.now())
     }
 
     /// Waits until something happens that a topic's reader has to know.
-    pub async fn read_nudge(&self, topic: Topic) {
-        self.nudges.get(topic).notified().await;
+    pub async fn wait_for_wakeup(&self, topic: Topic) {
+        self.reader_wakeups.get(topic).notified().await;
     }
 
     /// Changes constants when settings change.
-    pub fn tune(&self, change: impl FnOnce(&mut Tuning)) {
-        change(&mut self.state.borrow_mut().tuning);
+    pub fn update_tuning(&self, update: impl FnOnce(&mut Tuning)) {
+        update(&mut self.state.borrow_mut().tuning);
     }
 
     /// Runs the reducer for one event, and hands its effects out.
@@ -165,24 +165,24 @@
         let mut effects = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            let (before, news) = (state.wake_at(), state.latest_changes);
-            let rest = state.follow_state();
+            let (previous_wake, latest_changes) = (state.wake_at(), state.latest_changes);
+            let follow_state = state.follow_state();
             reduce(&mut state, self.clock.now(), event, &mut effects);
-            let after = state.wake_at();
-            if after.is_some_and(|at| before.is_none_or(|before| at < before)) {
-                self.changed.notify_one();
+            let next_wake = state.wake_at();
+            if next_wake.is_some_and(|next| previous_wake.is_none_or(|previous| next < previous)) {
+                self.timer_changed.notify_one();
             }
-            let roused = rest != state.follow_state();
+            let follow_state_changed = follow_state != state.follow_state();
             for topic in Topic::ALL {
-                let behind =
-                    news.get(topic) < state.latest_changes.get(topic) && state.is_stale(topic);
-                if behind || roused {
-                    self.nudges.get(topic).notify_one();
+                let has_new_change = latest_changes.get(topic) < state.latest_changes.get(topic)
+                    && state.is_stale(topic);
+                if has_new_change || follow_state_changed {
+                    self.reader_wakeups.get(topic).notify_one();
                 }
             }
         }
         for effect in effects {
-            self.carry_out(effect);
+            self.run_effect(effect);
         }
     }
 
@@ -191,71 +191,76 @@
         loop {
             let now = self.clock.now().mono;
             let wake = self.read(State::wake_at);
-            let pause = wake.map_or(IDLE, |at| at.saturating_sub(now)).min(IDLE);
+            let pause =
+                wake.map_or(MAX_TIMER_SLEEP, |at| at.saturating_sub(now)).min(MAX_TIMER_SLEEP);
             if pause.is_zero() {
                 self.dispatch(Event::Tick);
                 continue;
             }
             tokio::select! {
                 () = sleep(pause) => {
-                    self.links.sweep();
+                    self.connections.close_expired();
                     self.dispatch(Event::Tick);
                 }
-                () = self.changed.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn run_effect(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Start { request, attempt } => {
-                self.metrics.sent(attempt.op.as_str());
-                self.step(request, Step::Start(attempt));
+                self.metrics.count_sent(attempt.op.as_str());
+                self.send_to_request(request, RequestEffect::Start(attempt));
+            }
+            Effect::Stop { request, attempt } => {
+                self.send_to_request(request, RequestEffect::Stop(attempt));
+            }
+            Effect::Deliver { request, attempt } => {
+                self.send_to_request(request, RequestEffect::Deliver(attempt));
             }
-            Effect::Stop { request, attempt } => self.step(request, Step::Stop(attempt)),
-            Effect::Deliver { request, attempt } => self.step(request, Step::Deliver(attempt)),
             Effect::Refuse { request, refusal, retry_after } => {
-                self.metrics.refused(refusal);
-                self.step(request, Step::Refuse(refusal, retry_after));
+                self.metrics.count_refused(refusal);
+                self.send_to_request(request, RequestEffect::Refuse(refusal, retry_after));
             }
             Effect::AbortStream { request, refusal } => {
-                self.metrics.refused(refusal);
-                self.step(request, Step::Cut);
+                self.metrics.count_refused(refusal);
+                self.send_to_request(request, RequestEffect::AbortStream);
             }
             Effect::FreeKv { target, handle } => {
-                let request = (self.dialect.free)(&handle);
-                self.give_back("free", target, request);
+                let request = (self.dialect.free_request)(&handle);
+                self.release("free", target, request);
             }
             Effect::ReleaseHold { target, hold } => {
-                let request = (self.dialect.drop_hold)(&hold);
-                self.give_back("drop_hold", target, request);
+                let request = (self.dialect.release_hold_request)(&hold);
+                self.release("drop_hold", target, request);
             }
             Effect::Probe(target) => self.probe(target),
-            Effect::Order { target, stage, fence } => self.order(target, stage, fence),
+            Effect::Order { target, stage, fence } => self.send_order(target, stage, fence),
             Effect::SendGossip { to, gossip } => {
                 if let Some(socket) = self.socket.get() {
-                    peers::say(socket, &to, &gossip);
+                    gossip::send(socket, &to, &gossip);
                 }
             }
-            Effect::CloseConnections(endpoint) => self.links.forget(endpoint),
-            Effect::Log(note) => self.log(&note),
+            Effect::CloseConnections(endpoint) => self.connections.close_idle(endpoint),
+            Effect::Log(entry) => self.log(&entry),
         }
     }
 
     /// Effects for a request whose task is over are dropped: its end crossed them.
-    fn step(&self, id: RequestId, step: Step) {
-        if let Some(steps) = self.steps.borrow().get(&id) {
-            let _ = steps.send(step);
+    fn send_to_request(&self, id: RequestId, effect: RequestEffect) {
+        if let Some(sender) = self.request_effects.borrow().get(&id) {
+            let _ = sender.send(effect);
         }
     }
 
-    fn give_back(self: &Rc<Self>, what: &'static str, target: Target, request: OutRequest) {
+    fn release(self: &Rc<Self>, resource: &'static str, target: Target, request: OutRequest) {
         let router = Rc::clone(self);
         spawn_local(async move {
             // It lapses by itself at the endpoint when this fails.
-            if let Err(error) = send_off(&router, &target, request, GIVE_BACK).await {
+            if let Err(error) = send_control(&router, &target, request, RELEASE_TIMEOUT).await {
                 let line = Line::new("not_given_back")
-                    .with("what", what)
+                    .with("what", resource)
                     .with("instance", target.instance)
                     .with("error", format!("{error:?}"));
                 log::info!("{line}");
@@ -266,20 +271,20 @@
     fn probe(self: &Rc<Self>, target: Target) {
         let router = Rc::clone(self);
         spawn_local(async move {
-            let request = (router.dialect.alive)(&target.instance);
-            let life = router.links.probe(&target, request).await;
-            router.metrics.probed(life);
-            router.dispatch(Event::Probed { endpoint: target.endpoint, liveness: life });
+            let request = (router.dialect.liveness_request)(&target.instance);
+            let liveness = router.connections.probe(&target, request).await;
+            router.metrics.count_probe(liveness);
+            router.dispatch(Event::Probed { endpoint: target.endpoint, liveness });
         });
     }
 
-    fn order(self: &Rc<Self>, target: Target, stage: Stage, fence: u64) {
+    fn send_order(self: &Rc<Self>, target: Target, stage: Stage, fence: u64) {
         let router = Rc::clone(self);
         let holder = self.read(|state| state.local.name.clone());
-        let request = (self.dialect.order)(stage, &holder, fence, &target.instance);
+        let request = (self.dialect.order_request)(stage, &holder, fence, &target.instance);
         spawn_local(async move {
-            let answer = send_off(&router, &target, request, ORDER).await;
-            let accepted = match &answer {
+            let answer = send_control(&router, &target, request, ORDER_TIMEOUT).await;
+            let acceptance = match &answer {
                 Ok(status) if status.is_success() => Acceptance::Accepted,
                 Ok(_) | Err(CallError::Unreachable) => Acceptance::Refused,
                 Err(_) => Acceptance::Unknown,
@@ -290,19 +295,18 @@
                 .with("fence", fence)
                 .with("answer", format!("{answer:?}"));
             log::info!("{line}");
-            router
-                .dispatch(Event::OrderAnswered { endpoint: target.endpoint, acceptance: accepted });
+            router.dispatch(Event::OrderAnswered { endpoint: target.endpoint, acceptance });
         });
     }
 
     /// Logs a line, and counts what it measures.
-    pub fn log(&self, note: &LogLine) {
-        if let Some(measure) = note.measurement {
-            self.metrics.measured(measure);
+    pub fn log(&self, entry: &LogLine) {
+        if let Some(measurement) = entry.measurement {
+            self.metrics.record_measurement(measurement);
         }
         if log::log_enabled!(log::Level::Info) {
-            let line = Line::new(note.name);
-            let line = note.pairs.iter().fold(line, |line, (key, value)| line.with(key, value));
+            let line = Line::new(entry.name);
+            let line = entry.pairs.iter().fold(line, |line, (key, value)| line.with(key, value));
             log::info!("{line}");
         }
     }
--- a/crates/basilbank_gateway/src/reading.rs
+++ b/crates/basilbank_gateway/src/source.rs
@@ -4,37 +4,38 @@
 
 use basilbank_forward::prelude::*;
 
-use crate::{findings::Finding, progress::Progress};
+use crate::{progress::Progress, unusable::UnusableRecord};
 
 /// What was read of a topic.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Reading {
     /// Where.
-    pub at: Revisions,
+    pub revisions: Revisions,
     /// The configuration, if it was read.
     pub table: Option<RouteTable>,
     /// Entries of endpoints: those of a page, or new and changed ones.
-    pub listed: Vec<EndpointInfo>,
+    pub endpoints: Vec<EndpointInfo>,
     /// Instances whose entries went.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
     /// Entries that were left out.
-    pub findings: Vec<Finding>,
+    pub unusable: Vec<UnusableRecord>,
     /// Where the next page begins; none after the last.
-    pub next: Option<String>,
+    pub next_page: Option<String>,
 }
 
 impl Reading {
     /// Takes the next page in. Pages are no snapshot: what changed since the first one is read as
     /// changes after it, and what these repeat does no harm.
     pub fn append(&mut self, page: Reading) {
-        if self.at.store.is_none() {
-            self.at.store = page.at.store;
+        if self.revisions.store.is_none() {
+            self.revisions.store = page.revisions.store;
         }
-        self.at.latest_change = self.at.latest_change.max(page.at.latest_change);
+        self.revisions.latest_change =
+            self.revisions.latest_change.max(page.revisions.latest_change);
         self.table = page.table.or(self.table.take());
-        self.listed.extend(page.listed);
-        self.findings.extend(page.findings);
-        self.next = page.next;
+        self.endpoints.extend(page.endpoints);
+        self.unusable.extend(page.unusable);
+        self.next_page = page.next_page;
     }
 }
 
@@ -62,7 +63,7 @@
 }
 
 /// A read in progress.
-pub type Read = Pin<Box<dyn Future<Output = Result<Reading, ReadError>>>>;
+pub type ReadFuture = Pin<Box<dyn Future<Output = Result<Reading, ReadError>>>>;
 
 /// How a topic is read from the platform's store. What arrives is counted.
-pub type Source = Box<dyn Fn(Query, Progress) -> Read>;
+pub type Source = Box<dyn Fn(Query, Progress) -> ReadFuture>;
--- a/crates/basilbank_gateway/src/side.rs
+++ b/crates/basilbank_gateway/src/status_listener.rs
@@ -16,7 +16,7 @@
 use crate::router::Router;
 
 /// Longest time for a request's head, and for a connection to be idle.
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Answers until the task is dropped.
 pub async fn serve(router: Rc<Router>, listener: TcpListener) {
@@ -35,24 +35,24 @@
 
 async fn connection(router: Rc<Router>, stream: TcpStream) {
     let service = service_fn(move |request| {
-        let answer = answer(&router, &request);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = respond(&router, &request);
+        async move { Ok::<_, Infallible>(response) }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     // The balancer closes its connections as it likes.
     drop(served);
 }
 
-fn answer(router: &Router, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let (status, text) = match request.uri().path() {
+fn respond(router: &Router, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    let (status, body) = match request.uri().path() {
         "/metrics" => {
             router.metrics.set_view_age(router.read(|state| state.view_age(router.now())));
-            router.read(|state| router.metrics.set_teams(state, router.now()));
-            (StatusCode::OK, router.metrics.text())
+            router.read(|state| router.metrics.set_team_usage(state, router.now()));
+            (StatusCode::OK, router.metrics.encode_text())
         }
         "/ready" => {
             let ready = router.read(basilbank_forward::State::is_ready);
@@ -64,7 +64,7 @@
         }
         _ => (StatusCode::NOT_FOUND, String::new()),
     };
-    let mut response = Response::new(Full::new(Bytes::from(text)));
+    let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     response
 }
--- a/crates/basilbank_gateway/tests/body.rs
+++ b/crates/basilbank_gateway/tests/body.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use basilbank_gateway::{BadBody, read_body};
+use basilbank_gateway::{BodyError, read_body};
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 use test_case::test_case;
@@ -17,14 +17,14 @@
 };
 
 /// A body of equal pieces, one each pause.
-struct Paced {
-    left: usize,
-    bytes: usize,
+struct PacedBody {
+    remaining_chunks: usize,
+    chunk_bytes: usize,
     pause: Duration,
-    wait: Pin<Box<Sleep>>,
+    next_chunk: Pin<Box<Sleep>>,
 }
 
-impl Body for Paced {
+impl Body for PacedBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -32,15 +32,15 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.left == 0 {
+        if self.remaining_chunks == 0 {
             return Poll::Ready(None);
         }
-        if self.wait.as_mut().poll(cx).is_pending() {
+        if self.next_chunk.as_mut().poll(cx).is_pending() {
             return Poll::Pending;
         }
-        self.left -= 1;
-        self.wait = Box::pin(sleep(self.pause));
-        Poll::Ready(Some(Ok(Frame::data(Bytes::from(vec![b'x'; self.bytes])))))
+        self.remaining_chunks -= 1;
+        self.next_chunk = Box::pin(sleep(self.pause));
+        Poll::Ready(Some(Ok(Frame::data(Bytes::from(vec![b'x'; self.chunk_bytes])))))
     }
 }
 
@@ -51,19 +51,24 @@
 #[test_case(140, 30_000, 100, Ok(4_200_000); "a long body that gets on")]
 #[test_case(100, 2_000, 120, Ok(200_000); "a short one, slowly")]
 #[test_case(1, 10, 9_900, Ok(10); "one that comes late")]
-#[test_case(1, 10, 10_100, Err(BadBody::Slow); "one that comes too late")]
-#[test_case(100_000, 1, 100, Err(BadBody::Slow); "one that drips")]
-#[test_case(10, 1_000_000, 1, Err(BadBody::TooLong); "one that is too long")]
-fn a_body_may_take_as_long_as_it_gets_on(
+#[test_case(1, 10, 10_100, Err(BodyError::TooSlow); "one that comes too late")]
+#[test_case(100_000, 1, 100, Err(BodyError::TooSlow); "one that drips")]
+#[test_case(10, 1_000_000, 1, Err(BodyError::TooLong); "one that is too long")]
+fn body_timeout_extends_with_progress(
     count: usize,
     bytes: usize,
     pause_ms: u64,
-    expected: Result<usize, BadBody>,
+    expected: Result<usize, BodyError>,
 ) {
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build();
     let read = runtime.expect("a runtime").block_on(async {
         let pause = Duration::from_millis(pause_ms);
-        let body = Paced { left: count, bytes, pause, wait: Box::pin(sleep(pause)) };
+        let body = PacedBody {
+            remaining_chunks: count,
+            chunk_bytes: bytes,
+            pause,
+            next_chunk: Box::pin(sleep(pause)),
+        };
         read_body(body, 5_000_000).await
     });
     assert_eq!(read.map(|bytes| bytes.len()), expected);
--- a/crates/basilbank_gateway/tests/digest.rs
+++ b/crates/basilbank_gateway/tests/digest.rs
@@ -13,17 +13,17 @@
     build(request).body(()).expect("a request").into_parts().0
 }
 
-fn first() -> basilbank_forward::prelude::Digest {
+fn base_digest() -> basilbank_forward::prelude::Digest {
     digest(&head(|request| request), &Bytes::from_static(b"body"))
 }
 
 #[test]
-fn another_attempt_has_the_same_digest() {
+fn retry_has_the_same_digest() {
     let head = head(|request| {
         let request = request.header("x-attempt-id", "2").header("x-deadline-remaining", "900");
         request.header("connection", "close")
     });
-    assert_eq!(digest(&head, &Bytes::from_static(b"body")), first());
+    assert_eq!(digest(&head, &Bytes::from_static(b"body")), base_digest());
 }
 
 #[test_case(&head(|r| r.method("PUT")), b"body"; "method")]
@@ -31,6 +31,6 @@
 #[test_case(&head(|r| r.uri("/draft/1?page=3")), b"body"; "query")]
 #[test_case(&head(|r| r.header("authorization", "Bearer b")), b"body"; "credentials")]
 #[test_case(&head(|r| r), b"bodz"; "body")]
-fn another_request_has_another_digest(head: &Parts, body: &'static [u8]) {
-    assert_ne!(digest(head, &Bytes::from_static(body)), first());
+fn different_request_has_a_different_digest(head: &Parts, body: &'static [u8]) {
+    assert_ne!(digest(head, &Bytes::from_static(body)), base_digest());
 }
--- a/crates/basilbank_gateway/tests/reader/false_words.rs
+++ b/crates/basilbank_gateway/tests/reader/false_gossip.rs
@@ -17,11 +17,11 @@
 
 /// A store with the versions that are confirmed at these times.
 fn store(versions: &[Duration]) -> Rc<Store> {
-    Rc::new(Store { versions: versions.to_vec(), trip: ms(5), ..Store::default() })
+    Rc::new(Store { versions: versions.to_vec(), round_trip: ms(5), ..Store::default() })
 }
 
 /// Whether a route that isn't known may be denied.
-fn may_deny(rig: &Rig) -> bool {
+fn can_deny_routes(rig: &Rig) -> bool {
     rig.router.read(|state| !state.is_configuration_outdated())
 }
 
@@ -29,19 +29,19 @@
 /// Sequence: a peer tells of a revision that the store doesn't have, again and again.
 /// Cause: a peer's word was believed until the store had reached it.
 #[test]
-fn a_revision_that_does_not_exist_is_disproved_by_one_question() {
+fn nonexistent_revision_is_rejected_after_one_read() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         let store = store(&[]);
-        rig.read_both(&store);
+        rig.start_readers(&store);
         sleep(ms(100)).await;
-        let before = rig.asked().len();
-        rig.hear(Topic::Routes, 1_000_000, ms(3000)).await;
-        assert!(may_deny(&rig), "{:?}", rig.asked());
+        let before = rig.queries().len();
+        rig.send_gossip(Topic::Routes, 1_000_000, ms(3000)).await;
+        assert!(can_deny_routes(&rig), "{:?}", rig.queries());
         // Two watches of the list end in that time; besides, one question disproves the word, and the
         // configuration's watch begins anew.
-        let cost = rig.asked().len() - before;
-        assert!(cost <= 6, "{cost} questions: {:?}", rig.asked());
+        let cost = rig.queries().len() - before;
+        assert!(cost <= 6, "{cost} questions: {:?}", rig.queries());
         assert_eq!(rig.version(), 1);
     });
 }
@@ -50,19 +50,19 @@
 /// Sequence: a peer tells of another revision with each datagram, and none of them exists.
 /// Cause: each word counted as news.
 #[test]
-fn a_flood_of_false_revisions_costs_a_bounded_number_of_questions() {
+fn false_revisions_cause_a_bounded_number_of_reads() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         let store = store(&[ms(2000), ms(4000)]);
-        rig.read_both(&store);
+        rig.start_readers(&store);
         sleep(ms(100)).await;
-        let before = rig.asked().len();
+        let before = rig.queries().len();
         for n in 0..500 {
-            rig.hear(Topic::Routes, 1_000_000 + n, Duration::ZERO).await;
+            rig.send_gossip(Topic::Routes, 1_000_000 + n, Duration::ZERO).await;
             sleep(ms(10)).await;
         }
         // One that disproves and one that waits, each 0.3 s at most; and the list's own.
-        let cost = rig.asked().len() - before;
+        let cost = rig.queries().len() - before;
         assert!(cost <= 2 * 5000 / 300 + 8, "{cost} questions");
         assert_eq!(rig.version(), 3, "true news come in time all the same");
     });
@@ -70,15 +70,15 @@
 
 /// A word about something that is known costs nothing.
 #[test]
-fn an_older_revision_leads_to_no_question() {
+fn older_revision_causes_no_read() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         let store = store(&[ms(100), ms(200)]);
-        rig.read_both(&store);
+        rig.start_readers(&store);
         // A peer is heard all the while, so that watches are as long at the end as at the start.
-        rig.hear(Topic::Routes, 1, ms(1500)).await;
-        let before = rig.asked().into_iter().filter(|(at, _)| ms(800) < *at).count();
-        assert_eq!((rig.version(), may_deny(&rig)), (3, true));
-        assert!(before <= 2, "{:?}", rig.asked());
+        rig.send_gossip(Topic::Routes, 1, ms(1500)).await;
+        let before = rig.queries().into_iter().filter(|(at, _)| ms(800) < *at).count();
+        assert_eq!((rig.version(), can_deny_routes(&rig)), (3, true));
+        assert!(before <= 2, "{:?}", rig.queries());
     });
 }
--- a/crates/basilbank_gateway/tests/reader/main.rs
+++ b/crates/basilbank_gateway/tests/reader/main.rs
@@ -1,9 +1,9 @@
 //! The reader of the platform's store, in virtual time.
 
-mod false_words;
-mod findings;
-mod limits;
-mod returns;
+mod false_gossip;
+mod recovery;
 mod rig;
 mod store;
+mod timeouts;
 mod topics;
+mod unusable;
--- a/crates/basilbank_gateway/tests/reader/returns.rs
+++ b/crates/basilbank_gateway/tests/reader/recovery.rs
@@ -6,12 +6,12 @@
 
 use crate::{
     rig::{Rig, in_virtual_time},
-    store::{Outage, Span, Store},
+    store::{Outage, OutagePeriod, Store},
 };
 
 /// How long after its confirmation, or after the store's return, a version may take: the operators'
 /// bound.
-const BOUND: Duration = Duration::from_secs(2);
+const MAX_DELAY: Duration = Duration::from_secs(2);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -21,19 +21,24 @@
 fn store(outage: Outage, to: Duration) -> Rc<Store> {
     Rc::new(Store {
         versions: (1..40).map(|n| ms(800) * n).collect(),
-        spans: vec![Span { from: ms(4000), to, outage }],
-        trip: ms(5),
+        outages: vec![OutagePeriod { from: ms(4000), to, outage }],
+        round_trip: ms(5),
         ..Store::default()
     })
 }
 
 /// The first moment at which a version is not in force that has to be.
-async fn first_late(rig: &Rig, store: &Store, from: Duration, peer: bool) -> Option<String> {
+async fn first_overdue_version(
+    rig: &Rig,
+    store: &Store,
+    from: Duration,
+    peer: bool,
+) -> Option<String> {
     for step in 1..=240 {
         let now = ms(50) * step;
-        rig.go_on(store, now, peer).await;
-        let due = store.version(now.saturating_sub(BOUND));
-        if from + BOUND <= now && rig.version() < due {
+        rig.advance_until(store, now, peer).await;
+        let due = store.version(now.saturating_sub(MAX_DELAY));
+        if from + MAX_DELAY <= now && rig.version() < due {
             return Some(format!("version {} instead of {due} at {now:?}", rig.version()));
         }
     }
@@ -55,18 +60,18 @@
 #[test_case(Outage::Slow(Duration::from_millis(700)), false ; "slow, alone")]
 #[test_case(Outage::Refused, true ; "refused, with a peer")]
 #[test_case(Outage::Refused, false ; "refused, alone")]
-fn a_confirmed_version_is_in_force_in_time_after(outage: Outage, peer: bool) {
-    let mut late = Vec::new();
+fn confirmed_version_is_in_force_in_time_after(outage: Outage, peer: bool) {
+    let mut overdue = Vec::new();
     // Where the outage's end falls among the reader's waits decides.
     for step in 0..16 {
         let to = ms(5500) + ms(130) * step;
         in_virtual_time(|| async {
             let rig = Rig::new();
             let store = store(outage, to);
-            rig.read_both(&store);
-            let first = first_late(&rig, &store, to, peer).await;
-            late.extend(first.map(|first| format!("back at {to:?}: {first}")));
+            rig.start_readers(&store);
+            let first = first_overdue_version(&rig, &store, to, peer).await;
+            overdue.extend(first.map(|first| format!("back at {to:?}: {first}")));
         });
     }
-    assert!(late.is_empty(), "{} of 16 ends: {late:#?}", late.len());
+    assert!(overdue.is_empty(), "{} of 16 ends: {overdue:#?}", overdue.len());
 }
--- a/crates/basilbank_gateway/tests/reader/rig.rs
+++ b/crates/basilbank_gateway/tests/reader/rig.rs
@@ -11,8 +11,8 @@
 
 use basilbank_forward::prelude::*;
 use basilbank_gateway::{
-    BadCall, Dialect, Head, Metrics, OutRequest, Progress, Read, ReadError, Reading, Router,
-    run_reader,
+    AnswerKind, Dialect, InvalidCall, Metrics, OutRequest, Progress, ReadError, ReadFuture,
+    Reading, Router, run_reader,
 };
 use basilbank_wire::{LoadGossip, StoreRevision};
 use hyper::{Response, StatusCode};
@@ -23,16 +23,16 @@
 };
 
 /// A query, and when it came after the start.
-pub type Asked = (Duration, Query);
+pub type TimedQuery = (Duration, Query);
 
 /// A daemon, and what its readers asked.
 #[derive(Clone)]
 pub struct Rig {
     pub router: Rc<Router>,
-    asked: Rc<RefCell<Vec<Asked>>>,
+    queries: Rc<RefCell<Vec<TimedQuery>>>,
     /// Datagrams of the peer so far.
-    heard: Rc<Cell<u64>>,
-    begun: Instant,
+    gossip_sequence: Rc<Cell<u64>>,
+    start: Instant,
 }
 
 /// Runs in virtual time: all waits are over at once, in their order.
@@ -44,58 +44,62 @@
 
 impl Rig {
     pub fn new() -> Rig {
-        let begun = Instant::now();
+        let start = Instant::now();
         let state = State::new(Local::default().with_name("vm-1"), Tuning::default());
-        let clock = Box::new(VirtualClock(begun));
+        let clock = Box::new(VirtualClock(start));
         let router = Router::new(state, dialect(), clock, Arc::new(Metrics::default()));
-        Rig { router, asked: Rc::default(), heard: Rc::default(), begun }
+        Rig { router, queries: Rc::default(), gossip_sequence: Rc::default(), start }
     }
 
     /// When the daemon started.
-    pub fn begun(&self) -> Instant {
-        self.begun
+    pub fn start(&self) -> Instant {
+        self.start
     }
 
     /// Starts a topic's reader before a store.
-    pub fn read(&self, topic: Topic, answer: impl Fn(&Query, Progress) -> Read + 'static) {
-        let (asked, begun) = (Rc::clone(&self.asked), self.begun);
+    pub fn start_reader(
+        &self,
+        topic: Topic,
+        answer: impl Fn(&Query, Progress) -> ReadFuture + 'static,
+    ) {
+        let (queries, start) = (Rc::clone(&self.queries), self.start);
         let source = Box::new(move |query: Query, progress: Progress| {
-            asked.borrow_mut().push((begun.elapsed(), query.clone()));
+            queries.borrow_mut().push((start.elapsed(), query.clone()));
             answer(&query, progress)
         });
         spawn_local(run_reader(Rc::clone(&self.router), topic, source));
     }
 
     /// What was asked so far.
-    pub fn asked(&self) -> Vec<Asked> {
-        self.asked.borrow().clone()
+    pub fn queries(&self) -> Vec<TimedQuery> {
+        self.queries.borrow().clone()
     }
 
     /// Questions for changes so far.
     pub fn watches(&self) -> usize {
-        let asked = self.asked.borrow();
-        asked.iter().filter(|(_, query)| matches!(query.scope, Scope::Changes { .. })).count()
+        let queries = self.queries.borrow();
+        queries.iter().filter(|(_, query)| matches!(query.scope, Scope::Changes { .. })).count()
     }
 
     /// A peer says up to which revision it has seen changes of a topic, every 10 ms, until then.
-    pub async fn hear(&self, topic: Topic, revision: u64, time: Duration) {
-        self.hear_era(topic, revision.into(), time).await;
+    pub async fn send_gossip(&self, topic: Topic, revision: u64, time: Duration) {
+        self.send_gossip_in_era(topic, revision.into(), time).await;
     }
 
     /// The same of a revision in an era.
-    pub async fn hear_era(&self, topic: Topic, revision: Revision, time: Duration) {
-        let told = Some(StoreRevision { era: revision.era, number: revision.number });
+    pub async fn send_gossip_in_era(&self, topic: Topic, revision: Revision, time: Duration) {
+        let latest_change = Some(StoreRevision { era: revision.era, number: revision.number });
         let end = Instant::now() + time;
         let from = SocketAddr::from(([10, 0, 1, 2], 7000));
         loop {
-            self.heard.set(self.heard.get() + 1);
-            let sequence = self.heard.get();
-            let mut beat = LoadGossip { incarnation: 1, sequence, ..LoadGossip::default() };
+            self.gossip_sequence.set(self.gossip_sequence.get() + 1);
+            let sequence = self.gossip_sequence.get();
+            let mut gossip = LoadGossip { incarnation: 1, sequence, ..LoadGossip::default() };
             match topic {
-                Topic::Routes => beat.routes_news = told,
-                Topic::Endpoints => beat.endpoints_news = told,
+                Topic::Routes => gossip.routes_news = latest_change,
+                Topic::Endpoints => gossip.endpoints_news = latest_change,
             }
-            self.router.dispatch(Event::gossip(from, beat));
+            self.router.dispatch(Event::gossip(from, gossip));
             if end <= Instant::now() {
                 return;
             }
@@ -114,12 +118,12 @@
 }
 
 /// An answer that is there at once.
-pub fn at_once(answer: Result<Reading, ReadError>) -> Read {
+pub fn immediately(answer: Result<Reading, ReadError>) -> ReadFuture {
     Box::pin(std::future::ready(answer))
 }
 
 /// An answer after a time, all at once.
-pub fn after(time: Duration, answer: Result<Reading, ReadError>) -> Read {
+pub fn delayed(time: Duration, answer: Result<Reading, ReadError>) -> ReadFuture {
     Box::pin(async move {
         tokio::time::sleep(time).await;
         answer
@@ -127,23 +131,23 @@
 }
 
 /// No answer.
-pub fn silence() -> Read {
+pub fn no_answer() -> ReadFuture {
     Box::pin(std::future::pending())
 }
 
 /// An answer that comes in pieces of so many bytes, one each `pause`.
-pub fn in_pieces(
+pub fn in_chunks(
     progress: Progress,
     count: usize,
     bytes: usize,
     pause: Duration,
     answer: Result<Reading, ReadError>,
-) -> Read {
+) -> ReadFuture {
     Box::pin(async move {
-        progress.begun(None);
+        progress.record_head(None);
         for _ in 0..count {
             tokio::time::sleep(pause).await;
-            progress.arrived(bytes);
+            progress.record_bytes(bytes);
         }
         answer
     })
@@ -161,13 +165,17 @@
         draining: false,
         stage: None,
     });
-    Reading { at: Revisions::at(revision), listed: listed.collect(), ..Reading::default() }
+    Reading {
+        revisions: Revisions::at(revision),
+        endpoints: listed.collect(),
+        ..Reading::default()
+    }
 }
 
 /// A reading of a configuration.
 pub fn configuration(revision: u64, version: u64) -> Reading {
     let table = Some(RouteTable::new(version));
-    Reading { at: Revisions::at(revision), table, ..Reading::default() }
+    Reading { revisions: Revisions::at(revision), table, ..Reading::default() }
 }
 
 struct VirtualClock(Instant);
@@ -182,15 +190,15 @@
 /// Nothing is called or answered in these tests.
 fn dialect() -> Dialect {
     Dialect {
-        call: |_, _| Err(BadCall { trace: String::new(), finding: "no call" }),
-        request: |_, _, _, _| OutRequest::default(),
-        head: |_, _, _: &Response<()>| Head::Unclear,
+        parse_call: |_, _| Err(InvalidCall { trace_id: String::new(), reason: "no call" }),
+        attempt_request: |_, _, _, _| OutRequest::default(),
+        classify_answer: |_, _, _: &Response<()>| AnswerKind::Unclear,
         call_limit: |_| None,
-        own_body: |_, _| None,
-        free: |_| OutRequest::default(),
-        drop_hold: |_| OutRequest::default(),
-        alive: |_| OutRequest::default(),
-        order: |_, _, _, _| OutRequest::default(),
-        status: |_| StatusCode::OK,
+        parse_control_answer: |_, _| None,
+        free_request: |_| OutRequest::default(),
+        release_hold_request: |_| OutRequest::default(),
+        liveness_request: |_| OutRequest::default(),
+        order_request: |_, _, _, _| OutRequest::default(),
+        refusal_status: |_| StatusCode::OK,
     }
 }
--- a/crates/basilbank_gateway/tests/reader/store.rs
+++ b/crates/basilbank_gateway/tests/reader/store.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use basilbank_forward::prelude::*;
-use basilbank_gateway::{Read, ReadError, Reading};
+use basilbank_gateway::{ReadError, ReadFuture, Reading};
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::rig::{Rig, configuration, list};
@@ -23,7 +23,7 @@
 
 /// An outage's time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Span {
+pub struct OutagePeriod {
     pub from: Duration,
     pub to: Duration,
     pub outage: Outage,
@@ -35,10 +35,10 @@
     /// When each version of the configuration is confirmed; the first one is there from the start.
     pub versions: Vec<Duration>,
     /// When the list of endpoints changes.
-    pub list: Vec<Duration>,
-    pub spans: Vec<Span>,
+    pub list_changes: Vec<Duration>,
+    pub outages: Vec<OutagePeriod>,
     /// What a question and its answer take.
-    pub trip: Duration,
+    pub round_trip: Duration,
 }
 
 impl Store {
@@ -49,7 +49,7 @@
 
     /// The store's revision. Those of both topics come from one counter.
     fn revision(&self, at: Duration) -> u64 {
-        1 + count(&self.versions, at) + count(&self.list, at)
+        1 + count(&self.versions, at) + count(&self.list_changes, at)
     }
 
     /// The revision of a topic's last change.
@@ -62,12 +62,12 @@
     fn times(&self, topic: Topic) -> &[Duration] {
         match topic {
             Topic::Routes => &self.versions,
-            Topic::Endpoints => &self.list,
+            Topic::Endpoints => &self.list_changes,
         }
     }
 
-    fn outage(&self, at: Duration) -> Option<Span> {
-        self.spans.iter().find(|span| span.from <= at && at < span.to).copied()
+    fn outage(&self, at: Duration) -> Option<OutagePeriod> {
+        self.outages.iter().find(|period| period.from <= at && at < period.to).copied()
     }
 
     fn reading(&self, topic: Topic, at: Duration) -> Reading {
@@ -75,11 +75,11 @@
             Topic::Routes => configuration(1, self.version(at)),
             Topic::Endpoints => list(1, &["a"]),
         };
-        let at = Revisions {
+        let revisions = Revisions {
             store: self.revision(at).into(),
             latest_change: self.newest(topic, at).into(),
         };
-        Reading { at, ..reading }
+        Reading { revisions, ..reading }
     }
 
     /// Answers a question.
@@ -87,45 +87,46 @@
         &self,
         topic: Topic,
         query: Query,
-        begun: Instant,
+        start: Instant,
     ) -> Result<Reading, ReadError> {
-        let slow = match self.outage(begun.elapsed()).map(|span| span.outage) {
+        let delay = match self.outage(start.elapsed()).map(|period| period.outage) {
             Some(Outage::Cut) => {
-                sleep(query.connect).await;
+                sleep(query.connect_timeout).await;
                 return Err(failed("unreachable"));
             }
             Some(Outage::Silent) => std::future::pending().await,
             Some(Outage::Refused) => {
-                sleep(self.trip).await;
+                sleep(self.round_trip).await;
                 return Err(failed("status 503"));
             }
             Some(Outage::Slow(time)) => time,
             None => Duration::ZERO,
         };
-        sleep(self.trip + slow).await;
+        sleep(self.round_trip + delay).await;
         if let Scope::Changes { after, wait } = query.scope {
             let end = Instant::now() + wait;
-            while self.newest(topic, begun.elapsed()) <= after && Instant::now() < end {
-                let next = self.next(topic, begun.elapsed()).map_or(end, |next| begun + next);
-                self.wait(begun, next.min(end)).await?;
+            while self.newest(topic, start.elapsed()) <= after && Instant::now() < end {
+                let next = self.next(topic, start.elapsed()).map_or(end, |next| start + next);
+                self.wait(start, next.min(end)).await?;
             }
-            if self.newest(topic, begun.elapsed()) <= after {
-                let store = self.revision(begun.elapsed()).into();
-                let at = Revisions { store, latest_change: Revision::NONE };
-                return Ok(Reading { at, ..Reading::default() });
+            if self.newest(topic, start.elapsed()) <= after {
+                let store = self.revision(start.elapsed()).into();
+                let revisions = Revisions { store, latest_change: Revision::NONE };
+                return Ok(Reading { revisions, ..Reading::default() });
             }
         }
-        Ok(self.reading(topic, begun.elapsed()))
+        Ok(self.reading(topic, start.elapsed()))
     }
 
     /// Waits, with the store's state at its side: connections that stand go down with it.
-    async fn wait(&self, begun: Instant, until: Instant) -> Result<(), ReadError> {
-        let now = begun.elapsed();
-        let next = self.spans.iter().filter(|span| now <= span.from && begun + span.from < until);
-        match next.min_by_key(|span| span.from) {
-            Some(span) => {
-                sleep_until(begun + span.from).await;
-                match span.outage {
+    async fn wait(&self, start: Instant, until: Instant) -> Result<(), ReadError> {
+        let now = start.elapsed();
+        let next =
+            self.outages.iter().filter(|period| now <= period.from && start + period.from < until);
+        match next.min_by_key(|period| period.from) {
+            Some(period) => {
+                sleep_until(start + period.from).await;
+                match period.outage {
                     Outage::Cut | Outage::Silent => std::future::pending().await,
                     Outage::Refused => Err(failed("reset")),
                     Outage::Slow(_) => {
@@ -157,26 +158,31 @@
 
 impl Rig {
     /// Starts both readers before a store.
-    pub fn read_both(&self, store: &Rc<Store>) {
-        let begun = self.begun();
+    pub fn start_readers(&self, store: &Rc<Store>) {
+        let start = self.start();
         for topic in Topic::ALL {
             let store = Rc::clone(store);
-            self.read(topic, move |query, _| -> Read {
+            self.start_reader(topic, move |query, _| -> ReadFuture {
                 let (store, query) = (Rc::clone(&store), query.clone());
-                Box::pin(async move { store.answer(topic, query, begun).await })
+                Box::pin(async move { store.answer(topic, query, start).await })
             });
         }
     }
 
     /// Goes on until then. A peer that reads the store without trouble tells what it has, if there is one.
-    pub async fn go_on(&self, store: &Store, until: Duration, peer: bool) {
-        let until = self.begun() + until;
+    pub async fn advance_until(&self, store: &Store, until: Duration, peer: bool) {
+        let until = self.start() + until;
         while Instant::now() < until {
             if peer {
-                let now = self.begun().elapsed();
-                self.hear(Topic::Routes, store.newest(Topic::Routes, now), Duration::ZERO).await;
-                self.hear(Topic::Endpoints, store.newest(Topic::Endpoints, now), Duration::ZERO)
+                let now = self.start().elapsed();
+                self.send_gossip(Topic::Routes, store.newest(Topic::Routes, now), Duration::ZERO)
                     .await;
+                self.send_gossip(
+                    Topic::Endpoints,
+                    store.newest(Topic::Endpoints, now),
+                    Duration::ZERO,
+                )
+                .await;
             }
             sleep(Duration::from_millis(50)).await;
         }
--- a/crates/basilbank_gateway/tests/reader/limits.rs
+++ b/crates/basilbank_gateway/tests/reader/timeouts.rs
@@ -6,7 +6,9 @@
 use basilbank_gateway::{ReadError, Reading};
 use tokio::time::sleep;
 
-use crate::rig::{Rig, after, at_once, configuration, in_pieces, in_virtual_time, list, silence};
+use crate::rig::{
+    Rig, configuration, delayed, immediately, in_chunks, in_virtual_time, list, no_answer,
+};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -17,18 +19,18 @@
 /// Cause: the watch was dropped 0.3 s after the peer's word although its answer was coming.
 /// Evidence: the daemon's link was full for 0.3 s of each 1.1 s, and the watch's revision stood still.
 #[test]
-fn changes_that_come_slowly_are_kept_whatever_peers_have() {
+fn slow_changes_are_kept_despite_peer_gossip() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        rig.read(Topic::Endpoints, |_, _| at_once(Ok(list(10, &["a"]))));
-        rig.read(Topic::Routes, |query, progress| match query.scope {
-            Scope::Page { .. } => at_once(Ok(configuration(10, 1))),
+        rig.start_reader(Topic::Endpoints, |_, _| immediately(Ok(list(10, &["a"]))));
+        rig.start_reader(Topic::Routes, |query, progress| match query.scope {
+            Scope::Page { .. } => immediately(Ok(configuration(10, 1))),
             Scope::Changes { after: 10, .. } => {
-                in_pieces(progress, 100, 1500, ms(100), Ok(configuration(20, 2)))
+                in_chunks(progress, 100, 1500, ms(100), Ok(configuration(20, 2)))
             }
-            Scope::Changes { .. } => silence(),
+            Scope::Changes { .. } => no_answer(),
         });
-        rig.hear(Topic::Routes, 20, ms(11_000)).await;
+        rig.send_gossip(Topic::Routes, 20, ms(11_000)).await;
         assert_eq!(rig.router.read(|state| state.routes.version), 2);
     });
 }
@@ -38,16 +40,16 @@
 /// socket, is taken in just after it wakes.
 /// Cause: limits were looked at before what had come.
 #[test]
-fn an_answer_that_is_there_just_after_the_limit_counts() {
+fn answer_waiting_in_the_socket_at_the_timeout_is_used() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        rig.read(Topic::Endpoints, |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a"]))),
-            Scope::Changes { after: 10, .. } => after(ms(310), Ok(list(20, &["a", "b"]))),
-            Scope::Changes { .. } => silence(),
+        rig.start_reader(Topic::Endpoints, |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
+            Scope::Changes { after: 10, .. } => delayed(ms(310), Ok(list(20, &["a", "b"]))),
+            Scope::Changes { .. } => no_answer(),
         });
         sleep(ms(1)).await;
-        rig.hear(Topic::Endpoints, 20, ms(500)).await;
+        rig.send_gossip(Topic::Endpoints, 20, ms(500)).await;
         assert_eq!((rig.watches(), rig.listed().len()), (1, 2));
     });
 }
@@ -56,17 +58,17 @@
 /// Sequence: its answer drips, a byte at a time.
 /// Cause: each byte counted as getting on.
 #[test]
-fn an_answer_that_drips_is_given_up() {
+fn dripping_answer_is_abandoned() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        rig.read(Topic::Endpoints, |query, progress| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a"]))),
+        rig.start_reader(Topic::Endpoints, |query, progress| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
             Scope::Changes { .. } => {
-                in_pieces(progress, usize::MAX, 1, ms(100), Ok(Reading::default()))
+                in_chunks(progress, usize::MAX, 1, ms(100), Ok(Reading::default()))
             }
         });
         sleep(ms(10_000)).await;
-        assert!(3 <= rig.watches(), "{:?}", rig.asked());
+        assert!(3 <= rig.watches(), "{:?}", rig.queries());
     });
 }
 
@@ -74,15 +76,15 @@
 /// Sequence: a peer has news; the store needs two seconds for each answer.
 /// Cause: the limit after a peer's word never grew.
 #[test]
-fn a_slow_store_is_waited_for_at_last() {
+fn slow_store_is_eventually_read() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        rig.read(Topic::Endpoints, |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a"]))),
-            Scope::Changes { after: 10, .. } => after(ms(2000), Ok(list(20, &["a", "b"]))),
-            Scope::Changes { .. } => silence(),
+        rig.start_reader(Topic::Endpoints, |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
+            Scope::Changes { after: 10, .. } => delayed(ms(2000), Ok(list(20, &["a", "b"]))),
+            Scope::Changes { .. } => no_answer(),
         });
-        rig.hear(Topic::Endpoints, 20, ms(9000)).await;
+        rig.send_gossip(Topic::Endpoints, 20, ms(9000)).await;
         assert_eq!(rig.listed(), ["a", "b"]);
     });
 }
@@ -91,28 +93,28 @@
 /// Sequence: a page in the middle fails; everything is asked for again from the first.
 /// Cause: pages were one read, all or nothing; the longer the list, the less likely it was to end.
 #[test]
-fn a_page_that_fails_is_asked_for_again_and_none_before_it() {
+fn failed_page_is_retried_without_the_pages_before_it() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         let failed = Cell::new(false);
-        rig.read(Topic::Endpoints, move |query, _| match &query.scope {
-            Scope::Page { from } => at_once(match from.as_str() {
-                "" => Ok(Reading { next: Some("1".to_owned()), ..list(10, &["a"]) }),
+        rig.start_reader(Topic::Endpoints, move |query, _| match &query.scope {
+            Scope::Page { page_token: from } => immediately(match from.as_str() {
+                "" => Ok(Reading { next_page: Some("1".to_owned()), ..list(10, &["a"]) }),
                 "1" if !failed.replace(true) => Err(ReadError::Failed("status 503".to_owned())),
-                "1" => Ok(Reading { next: Some("2".to_owned()), ..list(10, &["a", "b"]) }),
+                "1" => Ok(Reading { next_page: Some("2".to_owned()), ..list(10, &["a", "b"]) }),
                 _ => Ok(Reading {
-                    at: Revisions { store: 14.into(), latest_change: 9.into() },
+                    revisions: Revisions { store: 14.into(), latest_change: 9.into() },
                     ..list(0, &["a", "b", "c"])
                 }),
             }),
             Scope::Changes { after, .. } => {
                 assert_eq!(*after, 10, "what changed since the first page is read after it");
-                silence()
+                no_answer()
             }
         });
         sleep(ms(1000)).await;
         assert_eq!(rig.listed(), ["a", "b", "c"]);
-        assert_eq!(rig.asked().len(), 5, "{:?}", rig.asked());
+        assert_eq!(rig.queries().len(), 5, "{:?}", rig.queries());
     });
 }
 
@@ -121,16 +123,16 @@
 /// drops its history all the time.
 /// Cause: both lead to a reading of everything at once.
 #[test]
-fn changes_that_can_never_be_had_are_no_loop_without_a_pause() {
+fn unavailable_changes_are_retried_with_a_pause() {
     for error in [ReadError::TooLong, ReadError::HistoryGone] {
         in_virtual_time(|| async move {
             let rig = Rig::new();
-            rig.read(Topic::Endpoints, move |query, _| match query.scope {
-                Scope::Page { .. } => after(ms(5), Ok(list(10, &["a"]))),
-                Scope::Changes { .. } => after(ms(5), Err(error.clone())),
+            rig.start_reader(Topic::Endpoints, move |query, _| match query.scope {
+                Scope::Page { .. } => delayed(ms(5), Ok(list(10, &["a"]))),
+                Scope::Changes { .. } => delayed(ms(5), Err(error.clone())),
             });
             sleep(ms(10_000)).await;
-            let calls = rig.asked().len();
+            let calls = rig.queries().len();
             assert!((20..=42).contains(&calls), "{calls} calls in ten seconds");
         });
     }
@@ -138,15 +140,15 @@
 
 /// What a watch may bring follows what everything took.
 #[test]
-fn changes_may_be_twice_as_long_as_everything() {
+fn changes_limit_is_twice_the_full_read() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        rig.read(Topic::Routes, |query, progress| match query.scope {
-            Scope::Page { .. } => in_pieces(progress, 10, 50_000, ms(1), Ok(configuration(10, 1))),
-            Scope::Changes { .. } => silence(),
+        rig.start_reader(Topic::Routes, |query, progress| match query.scope {
+            Scope::Page { .. } => in_chunks(progress, 10, 50_000, ms(1), Ok(configuration(10, 1))),
+            Scope::Changes { .. } => no_answer(),
         });
         sleep(ms(1000)).await;
-        let (_, watch) = rig.asked().pop().expect("a watch");
-        assert_eq!(watch.most, 1_000_000);
+        let (_, watch) = rig.queries().pop().expect("a watch");
+        assert_eq!(watch.max_bytes, 1_000_000);
     });
 }
--- a/crates/basilbank_gateway/tests/reader/topics.rs
+++ b/crates/basilbank_gateway/tests/reader/topics.rs
@@ -6,7 +6,7 @@
 use basilbank_gateway::{ReadError, Reading};
 use tokio::time::sleep;
 
-use crate::rig::{Rig, after, at_once, configuration, in_virtual_time, list, silence};
+use crate::rig::{Rig, configuration, delayed, immediately, in_virtual_time, list, no_answer};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -22,26 +22,30 @@
 /// Cause: a watch that was dropped counted as an outage of the store, after which entries that went are
 /// kept for a while.
 #[test]
-fn an_entry_that_went_while_a_watch_was_silent_is_gone_at_once() {
+fn record_removed_during_a_silent_watch_is_dropped_at_once() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         // The watch doesn't end by itself meanwhile.
-        rig.router.tune(|tuning| {
+        rig.router.update_tuning(|tuning| {
             (tuning.solo_watch_wait, tuning.max_watch_wait) = (ms(20_000), ms(20_000));
         });
         let silent = Cell::new(true);
-        rig.read(Topic::Endpoints, move |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a", "b"]))),
-            Scope::Changes { .. } if silent.replace(false) => silence(),
+        rig.start_reader(Topic::Endpoints, move |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a", "b"]))),
+            Scope::Changes { .. } if silent.replace(false) => no_answer(),
             Scope::Changes { after: 10, .. } => {
                 let gone = vec!["a".to_owned()];
-                at_once(Ok(Reading { at: Revisions::at(20), gone, ..Reading::default() }))
+                immediately(Ok(Reading {
+                    revisions: Revisions::at(20),
+                    removed: gone,
+                    ..Reading::default()
+                }))
             }
-            Scope::Changes { .. } => silence(),
+            Scope::Changes { .. } => no_answer(),
         });
-        rig.hear(Topic::Endpoints, 10, ms(1600)).await;
-        rig.hear(Topic::Endpoints, 20, ms(800)).await;
-        assert_eq!(rig.listed(), ["b"], "{:?}", rig.asked());
+        rig.send_gossip(Topic::Endpoints, 10, ms(1600)).await;
+        rig.send_gossip(Topic::Endpoints, 20, ms(800)).await;
+        assert_eq!(rig.listed(), ["b"], "{:?}", rig.queries());
     });
 }
 
@@ -49,21 +53,21 @@
 /// Sequence: the store needs two seconds for the configuration; the list's reads fail now and then.
 /// Cause: the configuration's read was given up with it, and began again with short limits.
 #[test]
-fn the_first_reading_of_the_configuration_does_not_depend_on_the_list() {
+fn first_configuration_read_does_not_depend_on_the_list() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         let fails = Cell::new(false);
-        rig.read(Topic::Endpoints, move |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a"]))),
-            Scope::Changes { .. } if fails.replace(!fails.get()) => at_once(Err(refused())),
-            Scope::Changes { .. } => after(ms(200), Ok(list(10, &["a"]))),
+        rig.start_reader(Topic::Endpoints, move |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
+            Scope::Changes { .. } if fails.replace(!fails.get()) => immediately(Err(refused())),
+            Scope::Changes { .. } => delayed(ms(200), Ok(list(10, &["a"]))),
         });
-        rig.read(Topic::Routes, |query, _| match query.scope {
-            Scope::Page { .. } => after(ms(2000), Ok(configuration(10, 1))),
-            Scope::Changes { .. } => silence(),
+        rig.start_reader(Topic::Routes, |query, _| match query.scope {
+            Scope::Page { .. } => delayed(ms(2000), Ok(configuration(10, 1))),
+            Scope::Changes { .. } => no_answer(),
         });
         sleep(ms(5500)).await;
-        assert_eq!(rig.router.read(|state| state.routes.version), 1, "{:?}", rig.asked());
+        assert_eq!(rig.router.read(|state| state.routes.version), 1, "{:?}", rig.queries());
     });
 }
 
@@ -71,29 +75,29 @@
 /// Sequence: all connections to the store go silent; the list's watch ends first, and is asked anew.
 /// Cause: the configuration's watch waits three times as long, on a connection that is as dead.
 #[test]
-fn a_store_that_the_list_lost_is_asked_for_the_configuration_anew() {
+fn lost_list_watch_triggers_a_configuration_read() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         // The list's watch ends within 2.8 s, the configuration's not before 3.1.
-        rig.router.tune(|tuning| {
+        rig.router.update_tuning(|tuning| {
             (tuning.solo_watch_wait, tuning.max_watch_wait) = (ms(2000), ms(2000));
         });
         let (list_dead, routes_dead) = (Cell::new(true), Cell::new(true));
-        rig.read(Topic::Endpoints, move |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a"]))),
-            Scope::Changes { .. } if list_dead.replace(false) => silence(),
-            Scope::Changes { after: 10, .. } => at_once(Ok(list(20, &["a"]))),
-            Scope::Changes { .. } => silence(),
+        rig.start_reader(Topic::Endpoints, move |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
+            Scope::Changes { .. } if list_dead.replace(false) => no_answer(),
+            Scope::Changes { after: 10, .. } => immediately(Ok(list(20, &["a"]))),
+            Scope::Changes { .. } => no_answer(),
         });
-        rig.read(Topic::Routes, move |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(configuration(10, 1))),
-            Scope::Changes { .. } if routes_dead.replace(false) => silence(),
-            Scope::Changes { after: 10, .. } => at_once(Ok(configuration(20, 2))),
-            Scope::Changes { .. } => silence(),
+        rig.start_reader(Topic::Routes, move |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(configuration(10, 1))),
+            Scope::Changes { .. } if routes_dead.replace(false) => no_answer(),
+            Scope::Changes { after: 10, .. } => immediately(Ok(configuration(20, 2))),
+            Scope::Changes { .. } => no_answer(),
         });
         // It hears a peer, so that watches are long; the peer's connections are dead, too.
-        rig.hear(Topic::Routes, 10, ms(3090)).await;
-        assert_eq!(rig.router.read(|state| state.routes.version), 2, "{:?}", rig.asked());
+        rig.send_gossip(Topic::Routes, 10, ms(3090)).await;
+        assert_eq!(rig.router.read(|state| state.routes.version), 2, "{:?}", rig.queries());
     });
 }
 
@@ -101,20 +105,20 @@
 /// Sequence: the store refuses everything for ten seconds.
 /// Cause: both readers asked whether it is back.
 #[test]
-fn in_an_outage_one_reader_asks() {
+fn only_one_reader_polls_during_an_outage() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        rig.read(Topic::Endpoints, |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a"]))),
-            Scope::Changes { .. } => after(ms(5), Err(refused())),
+        rig.start_reader(Topic::Endpoints, |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
+            Scope::Changes { .. } => delayed(ms(5), Err(refused())),
         });
         let calls = Rc::new(Cell::new(0));
         let counted = Rc::clone(&calls);
-        rig.read(Topic::Routes, move |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(configuration(10, 1))),
+        rig.start_reader(Topic::Routes, move |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(configuration(10, 1))),
             Scope::Changes { .. } => {
                 counted.set(counted.get() + 1);
-                after(ms(5), Err(refused()))
+                delayed(ms(5), Err(refused()))
             }
         });
         sleep(ms(10_000)).await;
@@ -126,15 +130,15 @@
 
 /// News of one topic is none of the other: a watch for it would wait in vain, and be dropped.
 #[test]
-fn news_of_the_configuration_leaves_the_lists_watch_alone() {
+fn configuration_change_does_not_affect_the_list_watch() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        rig.read(Topic::Endpoints, |query, _| match query.scope {
-            Scope::Page { .. } => at_once(Ok(list(10, &["a"]))),
-            Scope::Changes { .. } => silence(),
+        rig.start_reader(Topic::Endpoints, |query, _| match query.scope {
+            Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
+            Scope::Changes { .. } => no_answer(),
         });
         sleep(ms(1)).await;
-        rig.hear(Topic::Routes, 20, ms(1000)).await;
+        rig.send_gossip(Topic::Routes, 20, ms(1000)).await;
         assert_eq!(rig.watches(), 1);
     });
 }
