--- a/crates/basilbank_forward/src/state/local.rs
+++ b/crates/basilbank_forward/src/state/local.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-/// The start of the whole system to which a daemon's start belongs.
+/// Whether a daemon starts as part of the whole system's first start or of a later one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum SystemStart {
     /// The system starts for the first time.
@@ -48,7 +48,7 @@
     pub seed: u64,
     /// The start time of its process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// The start of the whole system to which its start belongs.
+    /// Whether it started as part of the whole system's first start or of a later one.
     pub start: SystemStart,
     /// The address at which its peers reach it.
     pub address: Option<SocketAddr>,
@@ -73,7 +73,7 @@
         self
     }
 
-    /// Sets the start of the whole system to which this start belongs.
+    /// Sets whether this is part of the whole system's first start or of a later one.
     #[must_use]
     pub fn with_start(mut self, start: SystemStart) -> Local {
         self.start = start;
--- a/crates/basilbank_forward/src/state/peers.rs
+++ b/crates/basilbank_forward/src/state/peers.rs
@@ -69,7 +69,7 @@
     pub fleet_reported: bool,
     /// Number of times that a watcher has reported that it lost the store.
     pub watcher_losses: u32,
-    /// The time of the current reducer step, against which the age of peers' reports is measured.
+    /// The time of the last reducer step, against which the age of peers' reports is measured.
     pub now: Duration,
     /// Whether this daemon has reported that it watches the store for other daemons.
     pub watching: bool,
@@ -102,7 +102,7 @@
     pub report_delay: Duration,
 }
 
-/// Maximum number of peers up to which the bytes per second that a daemon receives are not limited.
+/// Maximum number of peers with which the bytes per second that a daemon receives are not limited.
 pub const MAX_PEERS_UNLIMITED_GOSSIP: usize = 80;
 
 /// Weight of a new delay in [`Peers::report_delay`]: the mean covers some ten datagrams.
