--- a/crates/basilbank_core/src/reduce/catalogue/peers.rs
+++ b/crates/basilbank_core/src/reduce/catalogue/peers.rs
@@ -63,7 +63,7 @@
         }
         documents.store.delta_since(fetch.after)
     };
-    if delta.after == 0 && !may_send_full(&mut state.documents.full_transfers, now) {
+    if delta.after == 0 && !take_full_transfer(&mut state.documents.full_transfers, now) {
         note(out, "whole_put_off", vec![("vm", from.to_string())]);
         return;
     }
@@ -163,7 +163,7 @@
     send(out, from, Body::FetchCatalogue(fetch));
 }
 
-fn may_send_full(transfers: &mut FullTransfers, now: Now) -> bool {
+fn take_full_transfer(transfers: &mut FullTransfers, now: Now) -> bool {
     if transfers.second_start + Duration::from_secs(1) <= now.mono {
         *transfers = FullTransfers { second_start: now.mono, sent: 0 };
     }
