--- a/crates/basilbank_core/src/reduce/claim.rs
+++ b/crates/basilbank_core/src/reduce/claim.rs
@@ -86,10 +86,10 @@
         return;
     }
     claim.record_vote(from, vote.verdict(), vote.record.clone());
-    // A process that was paused finds votes in its socket that arrived after the claim's deadline.
-    // By then, voters that have started in between may have begun to grant the key to others, so
-    // these votes no longer add up to a majority. The claim ends as it would have ended without the
-    // pause.
+    // A process that was paused finds votes in its socket that it reads only after the claim's
+    // deadline. By then, voters that have started in between may have begun to grant the key to
+    // others, so these votes no longer add up to a majority. The claim ends as it would have ended
+    // without the pause.
     if claim.deadline <= now.mono {
         give_up(state, now, id, out);
         return;
