--- a/crates/basilbank_forward/src/reading.rs
+++ b/crates/basilbank_forward/src/reading.rs
@@ -1,16 +1,16 @@
-//! When the platform's store is asked, and for what.
+//! Decides when the platform's store is read, and what is read.
 //!
-//! The configuration and the list of endpoints have a reader each; [`Readers`] are both of them. They
-//! know no sockets and no clock: they are told what came and how late it is, and say what to ask. Two
-//! things hold at every moment, so that a change of which the operators have a confirmation is in force
-//! in bounded time:
+//! There is a reader for the configuration and one for the list of endpoints; [`Readers`] holds
+//! both. They use no sockets and no clock: they receive events with their times, and return which
+//! reads to start. Two rules hold at every moment, so that a change that was confirmed to the
+//! operators is in force within bounded time:
 //!
-//! - **An outage is noticed by looking.** Silence leads to a hedged request: another question goes out
-//!   beside the one that is silent, at a steady pace and on a new connection. It asks the store not to
-//!   wait for a change, so an answer means that the store is back, also when nothing has changed.
-//! - **A question is left open for long.** An answer that is merely late counts: the first that comes is
-//!   taken, whichever question it belongs to. So no limit has to grow with failures for the sake of a
-//!   slow store or link, and no wait is the sum of others.
+//! - **An outage is detected by polling.** When a read gets no answer, a hedged read is started
+//!   beside it, at a steady interval and on a new connection. It asks the store not to wait for a
+//!   change, so an answer means that the store is back, even if nothing has changed.
+//! - **A read stays open for long.** The first answer that arrives is used, whichever read it
+//!   belongs to, so a late answer counts as well. Timeouts don't have to grow with failures to suit
+//!   a slow store or link, and no wait is the sum of others.
 
 mod limits;
 mod pending;
@@ -23,36 +23,36 @@
 
 pub use readers::Readers;
 
-/// What is read.
+/// A read of the platform's store.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Query {
-    /// How much of the topic.
+    /// Which part of the topic is read.
     pub scope: Scope,
-    /// Why it is asked now.
+    /// Why the read is started now.
     pub reason: ReadReason,
-    /// Longest wait for a connection.
+    /// Maximum time to wait for a connection.
     pub connect_timeout: Duration,
-    /// Most bytes of an answer.
+    /// Maximum size of the answer in bytes.
     pub max_bytes: usize,
 }
 
-/// Why the store is asked.
+/// Why the store is read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReadReason {
-    /// Everything has to be read.
+    /// All records have to be read.
     Full,
-    /// A question before it failed, or is silent.
+    /// An earlier read failed, or has not been answered.
     Failure,
     /// This daemon or a peer has seen a change.
     Change,
-    /// Peers watch the topic; a look now and then whether their word holds.
+    /// Peers watch the topic; an occasional poll checks that their reports are right.
     Poll,
     /// The topic is watched.
     Watch,
 }
 
 impl ReadReason {
-    /// The stable name, for counters.
+    /// Returns the stable name that counters use.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -65,48 +65,49 @@
     }
 }
 
-/// How much is read.
+/// Which part of a topic is read.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Scope {
-    /// A page of everything.
+    /// One page of a read of all records.
     Page {
-        /// Where it begins, as the page before said; empty for the first.
+        /// Where the page begins, as returned with the previous page; empty for the first page.
         page_token: String,
     },
-    /// What changed after a revision.
+    /// The changes after a revision.
     Changes {
-        /// The revision.
+        /// The revision after which changes are read.
         after: u64,
-        /// How long the store waits for a change; zero when it is to answer at once.
+        /// How long the store waits for a change; zero if it has to answer at once.
         wait: Duration,
     },
 }
 
-/// Names a question of one topic.
+/// Identifies a read of one topic.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct ReadId(pub u64);
 
-/// What a reader has to know besides.
+/// What a reader has to know about the rest of the daemon and its peers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ReaderContext {
-    /// How long a watch of the list that goes out now lets the store wait for a change.
+    /// How long a watch of the list of endpoints lets the store wait for a change, if it starts
+    /// now.
     pub watch_wait: Duration,
-    /// The longest that a watch may let the store wait, whoever else watches.
+    /// Maximum time that any watch may let the store wait, whoever else watches.
     pub max_wait: Duration,
-    /// Daemons that are heard.
+    /// Number of daemons that this one is in contact with.
     pub peers_in_contact: usize,
-    /// Others watch the topic as well, and tell what they see.
+    /// Whether peers watch the topic as well, and report the changes that they see.
     pub is_shared: bool,
     /// The newest change of the topic that this daemon or a peer has seen.
     pub latest_change: Revision,
-    /// Enough peers watch the topic, and say that the store answers them.
+    /// Whether enough peers watch the topic and report that the store answers them.
     pub is_follower: bool,
-    /// How often a peer that watched has said that the store answers it no more.
+    /// How often a peer that watches has reported that the store no longer answers it.
     pub watcher_losses: u32,
 }
 
 impl Default for ReaderContext {
-    /// Nobody is heard, and nothing bounds a watch.
+    /// Returns the context of a daemon without peers whose watches are not limited.
     fn default() -> ReaderContext {
         ReaderContext {
             watch_wait: Duration::ZERO,
@@ -120,70 +121,70 @@
     }
 }
 
-/// Something has happened to a topic's questions.
+/// An event that concerns the reads of a topic.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum ReadEvent {
-    /// Time went on, or peers have news.
+    /// Time has passed, or peers have reported a change.
     Tick,
-    /// An answer gets on: its head came, or some of its body.
+    /// The header of an answer arrived, or more of its body.
     Progress {
-        /// Whose.
+        /// The read that is answered.
         read: ReadId,
-        /// When.
+        /// When the data arrived.
         at: Duration,
-        /// Bytes of the body so far.
+        /// Bytes of the body received so far.
         bytes: usize,
     },
-    /// A question came to its end.
+    /// A read ended.
     Ended {
-        /// Which one.
+        /// The read that ended.
         read: ReadId,
-        /// The store's era, if the answer said it.
+        /// The store's era, if the answer states it.
         era: Option<u64>,
-        /// How.
+        /// How the read ended.
         outcome: ReadOutcome,
     },
 }
 
-/// How a question ended.
+/// How a read ended.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum ReadOutcome {
-    /// With an answer.
+    /// The store answered.
     Answer {
         /// The store's revision, in its era.
         store_revision: u64,
-        /// It has something that was not known.
+        /// Whether the answer contains something new.
         changed: bool,
-        /// Where the next page begins; none after the last, and for changes.
+        /// Where the next page begins; none after the last page, and for changes.
         next_page: Option<String>,
-        /// Bytes of its body.
+        /// Size of the answer's body in bytes.
         bytes: usize,
     },
-    /// The changes after this revision can't be had any more.
+    /// The store no longer has the changes after this revision.
     HistoryGone,
-    /// The answer is longer than the question allows.
+    /// The answer is larger than the read allows.
     TooLong,
-    /// The store was not reached, or did not answer as it should.
+    /// The store could not be reached, or returned an invalid answer or an error.
     Failed(String),
 }
 
-/// What a reader asks of the shell.
+/// What a reader asks of the I/O layer.
 #[derive(Clone, PartialEq, Debug)]
 pub enum ReadEffect {
-    /// Ask the store. Questions that are open stay open.
+    /// Start a read. Reads that are open stay open.
     Start(ReadId, Query),
-    /// Close a question.
+    /// Close a read.
     Close {
-        /// Which one.
+        /// The read to close.
         read: ReadId,
-        /// It was silent for too long. Otherwise another one has brought the answer.
+        /// Whether the read timed out. Otherwise another read has brought the answer.
         timed_out: bool,
     },
-    /// The topic can't be read. It is said once, until it can be read again.
+    /// The topic can't be read. Emitted once, until the topic can be read again.
     StoreLost,
-    /// No change has this revision, though a peer has told of it: the store was asked after that, and
-    /// is not as far.
+    /// No change has this revision, although a peer reported it: the store was read after that
+    /// report, and its revision is lower.
     RevisionNotFound(Revision),
-    /// Log a line.
+    /// Write a log line.
     Log(LogLine),
 }
--- a/crates/basilbank_forward/src/reading/pending.rs
+++ b/crates/basilbank_forward/src/reading/pending.rs
@@ -1,4 +1,4 @@
-//! A question that is open.
+//! An open read of the store.
 
 use std::time::Duration;
 
@@ -8,30 +8,30 @@
 };
 use crate::topic::Revision;
 
-/// A question that is open.
+/// An open read of the store.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PendingRead {
     pub id: ReadId,
-    /// When it went out.
+    /// When the read was started.
     pub started_at: Duration,
-    /// When another one goes out beside it if it stays silent.
+    /// When a hedged read starts if this one stays unanswered.
     pub hedge_at: Duration,
-    /// When it is closed if it stays silent.
+    /// When the read is closed if it stays unanswered.
     pub close_at: Duration,
-    /// Its answer has begun to come.
+    /// Whether its answer has begun to arrive.
     pub has_begun: bool,
-    /// Bytes that came.
+    /// Bytes received so far.
     pub bytes: usize,
-    /// It is for a page of everything.
+    /// Whether it is for a page of a full read.
     pub is_page: bool,
-    /// A peer's word was its cause.
+    /// Whether a peer's report triggered the read.
     pub is_prompted: bool,
-    /// The newest change that peers had told of when it went out.
+    /// The newest change that peers had reported when the read was started.
     pub latest_change: Revision,
 }
 
 impl PendingRead {
-    /// The answer gets on.
+    /// Records that more of the answer has arrived.
     pub fn record_progress(&mut self, at: Duration, bytes: usize) {
         self.has_begun = true;
         self.bytes = bytes;
@@ -39,12 +39,12 @@
         self.close_at = at + READ_TIMEOUT;
     }
 
-    /// Its answer is on its way, however long it takes.
+    /// Whether the answer is arriving, however long it takes.
     pub fn is_arriving(&self, now: Duration) -> bool {
         self.has_begun && now < self.hedge_at
     }
 
-    /// Another one goes out beside it earlier, but not before its answer had the time that one takes.
+    /// Moves the hedged read forward, but leaves this read the time that an answer usually takes.
     pub fn hedge_earlier(&mut self, at: Duration) {
         if !self.has_begun {
             self.hedge_at = self.hedge_at.min(at.max(self.started_at + STALE_HEDGE_DELAY));
--- a/crates/basilbank_forward/src/reading/reader.rs
+++ b/crates/basilbank_forward/src/reading/reader.rs
@@ -19,67 +19,71 @@
     topic::{Revision, Topic},
 };
 
-/// The reader of one topic.
+/// Reads one topic.
 ///
-/// Each turn goes the same way: what came is taken in, peers' words are heeded, questions that were
-/// silent for too long are closed, and the next one goes out if it is time.
+/// Each step does the same: it handles the event, then the changes reported by peers, closes reads
+/// that timed out, and starts the next read if it is due.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Reader {
     topic: Topic,
-    /// Changes are read after this revision; none when everything has to be read.
+    /// Changes are read after this revision; none if all records have to be read.
     revision: Revision,
-    /// The store's era, once an answer has said it.
+    /// The store's era, once an answer has stated it.
     era: Option<u64>,
     /// Since when all answers are of an era before that one.
     older_era_since: Option<Duration>,
-    /// What is open was asked of the history before the store came back from a copy, and its answers,
-    /// though of the new era, would leave out what the store gave known numbers to.
+    /// Whether the open reads were started before the store was restored from a backup. Their
+    /// answers, although of the new era, would lack the changes to which the store gave revisions
+    /// that were already known.
     is_history_replaced: bool,
-    /// Where the next page of everything begins. A page that fails is asked for again, and none before
-    /// it: the more there are, the less likely it is that all of them come in one go.
+    /// Where the next page of a full read begins. If a page fails, only that page is read again:
+    /// the more pages there are, the less likely it is that all of them succeed in one pass.
     page_token: String,
-    /// The store's revision at the first page. Pages are no snapshot: what changed since is read as
-    /// changes.
+    /// The store's revision at the first page. Pages are not a snapshot: what has changed since the
+    /// first page is read as changes.
     first_page_revision: u64,
-    /// Bytes of everything, at the last reading.
+    /// Size in bytes of the last full read.
     full_read_bytes: usize,
-    /// Bytes of the pages so far.
+    /// Bytes of the pages read so far.
     pages_bytes: usize,
-    /// Questions that are open, the oldest first.
+    /// Open reads, the oldest first.
     pending: Vec<PendingRead>,
-    /// Questions so far.
+    /// Number of reads started so far.
     read_count: u64,
-    /// No question goes out before.
+    /// No read starts before this moment.
     earliest_start: Duration,
-    /// When the last one went out.
+    /// When the last read was started.
     last_started: Duration,
-    /// Refusals and silences in a row.
+    /// Consecutive failures, by an error or for lack of an answer.
     failures: u32,
-    /// Refusals among them. Silence calls for no pause: it took its time.
+    /// Consecutive failures by an error. Reads without an answer need no backoff, since they took
+    /// their time.
     refusals: u32,
-    /// Since when the store does not answer as it should.
+    /// Since when the store does not answer properly.
     lost_since: Option<Duration>,
-    /// The other topic can't be read.
+    /// Whether the other topic can't be read.
     pub is_other_lost: bool,
-    /// The newest change of which a peer's word led to a question.
+    /// The newest change for which a peer's report has triggered a read.
     prompted_change: Revision,
-    /// The next question is due to such a word, or to the other reader's doubt: silence until then is no
-    /// outage.
+    /// Whether the next read was moved forward by a peer's report or by trouble of the other
+    /// reader. Lack of an answer until then is not an outage.
     is_early: bool,
-    /// A question that a peer's word hurried has failed. So peers reach the store and this daemon does
-    /// not, and their next word won't change that; to heed each would only multiply refused calls.
+    /// Whether peers' reports are ignored, because a read that such a report triggered has failed.
+    /// Peers reach the store then and this daemon does not, which the next report won't change; a
+    /// read for each report would only multiply refused calls.
     ignores_peers: bool,
-    /// When everything was read last.
+    /// When the last full read ended.
     last_full_read: Option<Duration>,
-    /// A change of which peers told, and which there is not, if any.
+    /// A change that peers reported and that does not exist, if any.
     missing_revision: Revision,
-    /// Until then the store is watched more closely.
+    /// Until this moment watches of the configuration are as short as those of the list.
     short_watches_until: Duration,
-    /// Nothing is asked, since peers watch the topic, until they have news or it is time for a look.
+    /// Whether no reads are started because peers watch the topic. It ends when they report a
+    /// change, or when the next poll is due.
     is_following: bool,
-    /// The next question comes after such a time.
+    /// Whether the next read follows such a time without reads.
     was_following: bool,
-    /// Doubts of those peers that were heeded.
+    /// The last count of watcher losses that was handled.
     watcher_losses: u32,
 }
 
@@ -115,8 +119,9 @@
         }
     }
 
-    /// Takes an event in. Returns whether a question that went out later was answered with what an earlier
-    /// one should have been answered, too: a connection has died without a sign, and so may others.
+    /// Handles an event. Returns whether a later read was answered with data that an earlier read
+    /// should have returned as well: the earlier read's connection has died without a sign, and
+    /// others may have.
     pub fn step(
         &mut self,
         now: Duration,
@@ -167,7 +172,7 @@
         ends.fold(self.next_start(), Duration::min)
     }
 
-    /// The other reader's connection went silent, or has died.
+    /// Reacts to the other reader's connection, which has stopped answering or has died.
     pub fn suspect_connection(&mut self, now: Duration) {
         self.short_watches_until = now + SHORT_WATCH_PERIOD;
         if !self.pending.is_empty() && !self.is_lost() {
@@ -175,12 +180,12 @@
         }
     }
 
-    /// When the next question goes out.
+    /// Returns when the next read starts.
     fn next_start(&self) -> Duration {
         if self.is_history_replaced {
             return self.earliest_start;
         }
-        // Those that are open had their time.
+        // Open reads get their time to answer first.
         let silent = self.pending.iter().map(|pending| pending.hedge_at).max();
         let at = silent.map_or(self.earliest_start, |silent| silent.max(self.earliest_start));
         let paced = self.is_other_lost && self.topic == Topic::Routes && !self.revision.is_none();
@@ -190,7 +195,7 @@
         }
     }
 
-    /// The next question goes out earlier.
+    /// Moves the next read forward.
     fn start_earlier(&mut self, at: Duration) {
         for pending in &mut self.pending {
             pending.hedge_earlier(at);
@@ -200,18 +205,18 @@
             self.earliest_start.min(at.max(self.last_started + STALE_HEDGE_DELAY));
     }
 
-    /// A peer has seen a change that is not known here: if a question is silent, its connection may be
-    /// dead; if the store was lost, it may be back.
+    /// Handles a change that a peer has seen and this daemon has not: if a read gets no answer, its
+    /// connection may be dead; if the store was lost, it may be back.
     fn handle_latest_change(&mut self, now: Duration, latest_change: Revision) {
         let known = self.revision.max(self.prompted_change);
-        // An answer is on its way; or the word before led to a question that is still silent: while
-        // versions follow each other fast, each would bring the next question forward.
+        // An answer is arriving, or the previous report triggered a read that has no answer yet: if
+        // versions follow each other quickly, each report would move the next read forward.
         let waits =
             self.pending.iter().any(|pending| pending.is_prompted || pending.is_arriving(now));
         if self.revision.is_none() || latest_change <= known || self.ignores_peers || waits {
             return;
         }
-        // In the pause after a reading nothing is open, and the next question is soon.
+        // In the pause after a read nothing is open, and the next read is due soon.
         if self.pending.is_empty() && !self.is_lost() {
             if self.is_following {
                 self.earliest_start =
@@ -223,7 +228,7 @@
         self.start_earlier(if self.is_lost() { now } else { now + STALE_HEDGE_DELAY });
     }
 
-    /// Closes questions that were silent for too long.
+    /// Closes reads that got no answer for too long.
     fn close_timed_out(&mut self, now: Duration, effects: &mut Vec<ReadEffect>) {
         let closed = self.pending.extract_if(.., |pending| pending.close_at <= now);
         effects
@@ -267,8 +272,8 @@
         let after = self.revision.number;
         let scope = match reason {
             ReadReason::Full => Scope::Page { page_token: self.page_token.clone() },
-            // After a failure the store is not to wait for a change: its answer says that it is back. And
-            // where there is a change, silence says something at once.
+            // After a failure the store must not wait for a change: its answer shows that it is
+            // back. If there is a change to read, lack of an answer is conclusive at once.
             ReadReason::Failure | ReadReason::Change | ReadReason::Poll => {
                 Scope::Changes { after, wait: Duration::ZERO }
             }
@@ -298,7 +303,7 @@
             is_prompted,
             latest_change: context.latest_change,
         });
-        // Another question goes out long before a connection that can't be made is given up.
+        // A hedged read starts long before the connection attempt is given up.
         effects.push(ReadEffect::Start(
             id,
             Query { scope, reason, connect_timeout: READ_TIMEOUT, max_bytes },
@@ -310,13 +315,14 @@
             after if after.is_none() => ReadReason::Full,
             _ if self.failures != 0 => ReadReason::Failure,
             after if after < context.latest_change => ReadReason::Change,
-            // The connection was idle for long. If it died meanwhile, a watch would only show it in the end.
+            // The connection was idle for long. If it died meanwhile, a watch would show that only
+            // at its end.
             _ if context.is_follower || self.was_following => ReadReason::Poll,
             _ => ReadReason::Watch,
         }
     }
 
-    /// How long a watch lets the store wait.
+    /// Returns how long a watch lets the store wait.
     fn watch_wait(&self, now: Duration, context: ReaderContext) -> Duration {
         let longer =
             self.topic == Topic::Routes && context.is_shared && self.short_watches_until <= now;
@@ -343,7 +349,7 @@
                 let begins = pending.is_page && self.page_token.is_empty();
                 self.enter_era(now, era, effects);
                 match outcome {
-                    // It is the first page of everything as it is now.
+                    // The answer is the first page of all records as they are now.
                     ReadOutcome::Answer { .. } if begins => {}
                     ReadOutcome::Failed(error) => {
                         return self.record_failure(now, pending, &error, effects);
@@ -387,7 +393,7 @@
             let line = line.with_ms("lost_ms", now.saturating_sub(lost));
             effects.push(ReadEffect::Log(line));
         }
-        // At a start there is no trouble, only nothing to read yet.
+        // At the start there are no failures, just nothing to read yet.
         if self.failures != 0 && !self.revision.is_none() {
             self.short_watches_until = now + SHORT_WATCH_PERIOD;
         }
@@ -423,7 +429,8 @@
         effects: &mut Vec<ReadEffect>,
     ) {
         let store = self.revision_in_era(store);
-        // Within an era the store's counter only rises, and its answers are as new as the question.
+        // Within an era the store's revision only rises, and an answer is at least as new as the
+        // start of the read.
         if store < pending.latest_change {
             self.missing_revision = pending.latest_change;
             effects.push(ReadEffect::RevisionNotFound(pending.latest_change));
@@ -432,7 +439,7 @@
         self.earliest_start = if changed { now + BATCH_PAUSE } else { now };
     }
 
-    /// Changes can't be had, or cost more than they bring.
+    /// Starts over with a full read: changes are unavailable, or larger than they are worth.
     fn restart_full_read(
         &mut self,
         now: Duration,
@@ -445,12 +452,12 @@
         self.schedule_full_read(now);
     }
 
-    /// Everything is read next.
+    /// Schedules a full read.
     fn schedule_full_read(&mut self, now: Duration) {
         self.revision = Revision::NONE;
         self.page_token.clear();
-        // A store that drops its history all the time, or changes more than all that it holds, isn't
-        // asked in a loop without a pause.
+        // Without this pause a store that drops its history all the time, or that changes more than
+        // all its records together, would be read in a tight loop.
         self.earliest_start = self.last_full_read.map_or(now, |read| now.max(read + BATCH_PAUSE));
     }
 
@@ -465,8 +472,8 @@
         self.is_early = false;
         self.mark_lost(now, pending, error, effects);
         self.failures += 1;
-        // Connections that can't be made fail one after the other, long after they were tried: if each
-        // led to a pause, the pauses would follow each other without a question.
+        // Connections that can't be made fail one after the other, long after they were started: if
+        // each led to a pause, the pauses would follow each other without a read between them.
         if pending.started_at == self.last_started {
             self.refusals += 1;
             self.earliest_start = now + backoff(self.refusals);
--- a/crates/basilbank_forward/src/reading/reader/eras.rs
+++ b/crates/basilbank_forward/src/reading/reader/eras.rs
@@ -1,4 +1,4 @@
-//! The store comes back from a copy of itself: what an answer's era means.
+//! Eras of the store: it enters a new one when it is restored from a backup.
 
 use std::{cmp::Ordering, time::Duration};
 
@@ -9,11 +9,12 @@
 };
 
 impl Reader {
-    /// The era in which an answer counts; `None` if it doesn't.
+    /// Returns the era in which an answer is used; `None` if the answer is discarded.
     ///
-    /// An answer of an older era is late, or of a store that is behind: what it says is over. One of a
-    /// newer era counts when it is the beginning of everything: changes after a revision of the era before
-    /// leave out what the store gave the same numbers to.
+    /// An answer of an older era is late, or comes from a store that lags behind: its content is
+    /// obsolete. An answer of a newer era is used if it is the first page of a full read: changes
+    /// after a revision of the previous era would lack those to which the store gave the same
+    /// revisions again.
     pub fn accepted_era(&self, read: ReadId, era: Option<u64>) -> Option<u64> {
         let pending =
             self.pending.iter().find(|pending| pending.id == read && !self.is_history_replaced)?;
@@ -24,7 +25,8 @@
         }
     }
 
-    /// An answer's era against the known one. An answer that doesn't say its era says nothing about it.
+    /// Compares an answer's era with the known one. An answer that doesn't state its era counts as
+    /// equal.
     pub(super) fn compare_era(&self, era: Option<u64>) -> Ordering {
         let Some(era) = era else { return Ordering::Equal };
         match self.era {
@@ -38,19 +40,20 @@
         self.era
     }
 
-    /// The other reader has seen another era: what is known of this topic is of the history before.
+    /// Handles another era that the other reader has seen: what is known of this topic belongs to
+    /// the history before.
     pub fn handle_other_era(&mut self, now: Duration, era: u64) {
         self.era = Some(era);
         self.is_history_replaced = !self.pending.is_empty();
         self.schedule_full_read(now);
     }
 
-    /// A revision of the known era.
+    /// Returns a revision of the known era.
     pub(super) fn revision_in_era(&self, number: u64) -> Revision {
         Revision { era: self.era.unwrap_or_default(), number }
     }
 
-    /// The store has come back from a copy.
+    /// Enters a new era: the store was restored from a backup.
     pub(super) fn enter_era(
         &mut self,
         now: Duration,
@@ -66,10 +69,10 @@
         self.restart_full_read(now, "era", effects);
     }
 
-    /// An answer of an era that is over, by what is known. A late one is over soon; when nothing else
-    /// comes for longer than any answer is waited for, the known era was wrong: a damaged header would
-    /// otherwise keep this daemon from the store for good. The wait keeps a daemon between two stores of
-    /// different eras from reading everything again with each answer.
+    /// Handles an answer of an era that is over as far as is known. Late answers stop soon. If no
+    /// other answers come for longer than any read waits, the known era was wrong: a damaged header
+    /// would otherwise keep this daemon from the store for good. The wait keeps a daemon that
+    /// reaches two stores of different eras from a full read at each answer.
     pub(super) fn handle_older_era(
         &mut self,
         now: Duration,
--- a/crates/basilbank_forward/src/reading/reader/follow.rs
+++ b/crates/basilbank_forward/src/reading/reader/follow.rs
@@ -1,4 +1,4 @@
-//! A daemon of a large fleet leaves a topic to peers that watch it.
+//! In a large fleet, a daemon leaves the watching of a topic to its peers.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 };
 
 impl Reader {
-    /// Peers don't watch the topic any more, or one of them was wrong to: the others may be, too.
+    /// Moves the next read forward if peers no longer watch the topic, or if one of them has lost
+    /// the store: the others may have lost it, too.
     pub(super) fn resume_reading(&mut self, now: Duration, context: ReaderContext) {
         if self.is_following
             && (!context.is_follower || context.watcher_losses != self.watcher_losses)
@@ -20,10 +21,10 @@
         self.watcher_losses = context.watcher_losses;
     }
 
-    /// Leaves the topic to peers that watch it; true if there is nothing to ask.
+    /// Leaves the topic to the peers that watch it; returns true if no read is needed now.
     ///
-    /// If each daemon of a large fleet watched, each change would end as many watches, all for the same
-    /// news, and these would be most of what the store is asked.
+    /// If each daemon of a large fleet watched, each change would end as many watches, all for the
+    /// same change, and these would be most of the store's load.
     pub(super) fn follow_watchers(&mut self, now: Duration, context: ReaderContext) -> bool {
         let is_healthy = !self.revision.is_none() && self.pending.is_empty() && self.failures == 0;
         self.was_following = std::mem::take(&mut self.is_following);
--- a/crates/basilbank_forward/src/reading/readers.rs
+++ b/crates/basilbank_forward/src/reading/readers.rs
@@ -5,8 +5,8 @@
 use super::{ReadEffect, ReadEvent, ReadId, ReaderContext, reader::Reader};
 use crate::topic::{PerTopic, Topic};
 
-/// The readers of both topics. They ask the same store on the same way, so what one learns of it counts
-/// for the other.
+/// The readers of both topics. They reach the same store over the same network path, so what one
+/// learns about the store applies to the other.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Readers(PerTopic<Reader>);
 
@@ -20,8 +20,7 @@
 }
 
 impl Readers {
-    /// Takes an event of a topic in. Returns whether the other topic has something to do by it: it then
-    /// needs a `Tick`.
+    /// Handles an event of a topic. Returns whether the other topic needs a `Tick` because of it.
     pub fn step(
         &mut self,
         topic: Topic,
@@ -40,21 +39,22 @@
         if let Some(era) = era.filter(|era| other.era().is_some_and(|known| known != *era)) {
             other.handle_other_era(now, era);
         }
-        // The list has news more often; when its connection went silent, the configuration's, whose
-        // watch takes longer, probably did, too.
+        // The list changes more often. If its connection has stopped answering, the
+        // configuration's, whose watch takes longer, probably has, too.
         if connection_died || lost && !before && topic == Topic::Endpoints {
             other.suspect_connection(now);
         }
         other.wake_at() < previous_wake
     }
 
-    /// The era in which an answer of a topic counts; `None` if it doesn't, and is not to be taken in.
+    /// Returns the era in which an answer of a topic is used; `None` if the answer has to be
+    /// discarded.
     #[must_use]
     pub fn accepted_era(&self, topic: Topic, read: ReadId, era: Option<u64>) -> Option<u64> {
         self.0.get(topic).accepted_era(read, era)
     }
 
-    /// When the topic needs a `Tick`.
+    /// Returns when the topic needs a `Tick`.
     #[must_use]
     pub fn wake_at(&self, topic: Topic) -> Duration {
         self.0.get(topic).wake_at()
--- a/crates/basilbank_gateway/src/attempt.rs
+++ b/crates/basilbank_gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Carries one attempt out.
+//! Carries out one attempt at an endpoint.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,69 +19,69 @@
     router::Router,
 };
 
-/// Largest whole answer: it is read to its end before it is passed on, so that one that breaks off
-/// is not taken for whole.
+/// Maximum size of an answer that is not a stream. It is read to its end before it is forwarded, so
+/// that one that breaks off is not taken for complete.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Largest answer that is meant for the router itself.
+/// Maximum size of an answer that is meant for the router itself.
 const MAX_CONTROL_ANSWER_BYTES: usize = 64 << 10;
 
-/// What an attempt came to, and what is to be passed on.
+/// The outcome of an attempt, and the answer to forward.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// For the decisions.
+    /// Outcome for the reducer.
     pub outcome: Outcome,
-    /// For the caller.
+    /// Answer for the caller.
     pub pending: Option<PendingAnswer>,
 }
 
-/// An answer that waits until the decisions say whether it is passed on.
+/// An answer that waits until the reducer decides whether it is forwarded.
 #[derive(Debug)]
 pub enum PendingAnswer {
-    /// A whole one.
+    /// A complete answer.
     Full(FullAnswer),
     /// A stream that has begun.
     Stream(Box<AnswerStream>),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct FullAnswer {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers, without those of the connection.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 /// A stream that has begun.
 #[derive(Debug)]
 pub struct AnswerStream {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers, without those of the connection.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The rest of the body.
+    /// Rest of the body.
     pub body: Incoming,
-    /// Its connection.
+    /// Connection that carries the stream.
     pub connection: Connection,
-    /// How long the endpoint keeps the connection.
+    /// How long the endpoint keeps the connection open, as `parse_keep_alive` returns it.
     pub keep_alive: Option<Option<Duration>>,
-    /// Silence after which its endpoint is asked whether it lives.
+    /// Time without data after which the endpoint is asked whether it is alive.
     pub stall_timeout: Option<Duration>,
-    /// Where it comes from.
+    /// Endpoint that sends the stream.
     pub target: Target,
 }
 
-/// One caller's request, as it came.
+/// A caller's request as it was received.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// What the decisions know of it.
+    /// The parsed call, for the reducer.
     pub call: Call,
-    /// Its head.
+    /// Request head.
     pub head: Parts,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-/// Carries an attempt out.
+/// Carries out an attempt.
 pub async fn run_attempt(
     router: Rc<Router>,
     caller_request: Rc<CallerRequest>,
@@ -168,8 +168,9 @@
     }
 }
 
-/// Tells the decisions what the answer says of the endpoint's limit. One that says nothing lifts it, if the
-/// endpoint has run the call: what refuses a call, or holds a slot, need not say it.
+/// Reports to the reducer which call limit the answer states. An answer without one lifts the limit
+/// if the endpoint has run the call: an answer that refuses a call or holds a slot need not state
+/// the limit.
 fn report_call_limit(router: &Rc<Router>, attempt: &Attempt, head: &Response<()>) {
     let endpoint = attempt.target.endpoint;
     let rate = (router.dialect.call_limit)(head);
@@ -179,7 +180,7 @@
     }
 }
 
-/// Sends a request whose answer matters to nobody but the log.
+/// Sends a request whose answer is only logged.
 pub async fn send_control(
     router: &Router,
     target: &Target,
@@ -221,7 +222,8 @@
     body: Incoming,
     connection: Connection,
 ) -> AttemptResult {
-    // A body that breaks off must not look whole: it is read to its end before it is passed on.
+    // The body is read to its end before it is forwarded, so that one that breaks off doesn't look
+    // complete.
     let Some(bytes) = collect_body(body, MAX_ANSWER_BYTES, attempt.answer_timeout).await else {
         return AttemptResult::without_answer(Outcome::Broken(Damage::CutOff));
     };
@@ -261,8 +263,8 @@
     (Response::from_parts(head, ()), body)
 }
 
-/// How long the endpoint keeps the connection: `None` when it closes it, `Some(None)` when it
-/// doesn't say.
+/// Returns how long the endpoint keeps the connection open: `None` if it closes the connection,
+/// `Some(None)` if it doesn't say.
 fn parse_keep_alive(head: &Response<()>) -> Option<Option<Duration>> {
     let closes = |value: &hyper::header::HeaderValue| {
         value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close"))
@@ -290,7 +292,7 @@
     hyper::header::UPGRADE,
 ];
 
-/// Removes the headers that concern one connection only, also those that `Connection` names.
+/// Removes the headers that concern one connection only, including those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<_> = headers
         .get_all(CONNECTION)
--- a/crates/basilbank_gateway/src/caller_listener.rs
+++ b/crates/basilbank_gateway/src/caller_listener.rs
@@ -13,33 +13,34 @@
 
 use crate::{request, router::Router};
 
-/// How long to wait when the system can't accept a connection, for example for want of descriptors.
+/// Pause after the system can't accept a connection, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A caller that takes no byte for this long while there are bytes for it is cut off.
+/// Time after which a caller is disconnected that accepts no bytes although some are waiting for
+/// it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(8);
 
 const CONNECTION_CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// The answer to a head that does not come to its end.
+/// Response to a request whose head does not arrive in time.
 const SLOW_HEADER_RESPONSE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 24\r\n\
     connection: close\r\ncontent-type: application/json\r\n\r\n{\"error\":\"slow_header\"}\n";
 
-/// Open connections of callers.
+/// Number of open connections of callers.
 pub type OpenConnections = Rc<Cell<usize>>;
 
-/// What callers' connections are told.
+/// Phase of the listener, which callers' connections follow.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// Serve on.
+    /// Connections are accepted and kept open.
     Serving,
-    /// Accept on, but end each connection with its next answer.
+    /// Connections are accepted, and each is closed after its next response.
     Draining,
-    /// Accept no more.
+    /// No more connections are accepted.
     Closed,
 }
 
-/// Accepts callers until the phase is `Closed` and nobody waits to be accepted.
+/// Accepts callers until the phase is `Closed` and no connection waits to be accepted.
 pub async fn accept_callers(
     router: Rc<Router>,
     listener: TcpListener,
@@ -73,7 +74,8 @@
             }
         }
     }
-    // What the system has accepted for us gets an answer: closing the listener would reset it.
+    // Connections in the system's backlog are served as well: closing the listener would reset
+    // them.
     while let Ok(Ok((stream, _))) = timeout(Duration::from_millis(1), listener.accept()).await {
         serve(stream);
     }
@@ -91,7 +93,7 @@
         let (router, draining) = (Rc::clone(&router_for_requests), draining.clone());
         Box::pin(async move {
             let mut response = request::serve(router, request).await;
-            // A connection whose first request comes only now isn't told by hyper.
+            // hyper doesn't add the header to a connection whose first request arrives only now.
             if *draining.borrow() {
                 response.headers_mut().insert(CONNECTION, CONNECTION_CLOSE);
             }
@@ -101,7 +103,7 @@
     let refuse = |refusal: EdgeRefusal| {
         router.metrics.count_refused_early(refusal.as_str());
         log::info!("event=refused_early reason={}", refusal.as_str());
-        // hyper answers what it can't parse by itself.
+        // hyper itself answers requests that it can't parse.
         (refusal == EdgeRefusal::SlowHeader).then(|| SLOW_HEADER_RESPONSE.to_vec())
     };
     edge::serve(stream, &terms, handle, refuse, closing).await;
--- a/crates/basilbank_gateway/src/connections.rs
+++ b/crates/basilbank_gateway/src/connections.rs
@@ -17,23 +17,24 @@
 
 use crate::dialect::OutRequest;
 
-/// Longest wait for a connection: some round trips between data centres. An endpoint behind a
-/// partition does not answer at all, and a lost opening packet is sent again after a second only.
+/// Maximum time to connect: some round trips between data centres. An endpoint behind a partition
+/// does not answer at all, and a lost SYN packet is sent again only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a connection is kept when the endpoint doesn't say how long it keeps it.
+/// How long a connection is kept if the endpoint doesn't state its keep-alive time.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// Taken off what the endpoint says: it may close the connection while a request is on its way.
+/// Subtracted from the endpoint's keep-alive time, because the endpoint may close the connection
+/// while a request is on its way.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Idle connections to one endpoint beyond this are closed.
+/// Maximum number of idle connections to one endpoint; the oldest is closed beyond that.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
-/// Limit of the question whether an endpoint lives.
+/// Timeout of a liveness check.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Largest response head in bytes.
+/// Maximum size of a response head in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 
 /// How a call failed without an answer.
@@ -41,14 +42,14 @@
 pub enum CallError {
     /// No connection could be made: nothing was sent.
     Unreachable,
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or the answer was invalid.
     Broken(Damage),
-    /// No answer within the limit.
+    /// No answer came within the timeout.
     Silent,
 }
 
-/// A connection to an endpoint. Dropping it closes the connection, so that an endpoint stops working
-/// for a call that nobody waits for.
+/// A connection to an endpoint. Dropping it closes the connection, so that the endpoint stops
+/// working on a call that nobody waits for.
 #[derive(Debug)]
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
@@ -70,45 +71,46 @@
     expires_at: Instant,
 }
 
-/// The connections that are kept, by endpoint.
+/// Idle connections, by endpoint.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<EndpointKey, Vec<IdleConnection>>>,
 }
 
 impl Connection {
-    /// Connects within `limit`.
+    /// Connects within `connect_timeout`.
     ///
     /// # Errors
-    /// The endpoint can't be reached in time.
+    /// Returns an error if the endpoint can't be reached in time.
     pub async fn connect(
         addr: SocketAddr,
         connect_timeout: Duration,
     ) -> Result<Connection, CallError> {
         let connected = timeout(connect_timeout, TcpStream::connect(addr)).await;
         let Ok(Ok(stream)) = connected else { return Err(CallError::Unreachable) };
-        // Without the option the call works, but its last segment may wait for an acknowledgement.
+        // The call works without the option, but its last segment may be delayed until an
+        // acknowledgement.
         let _ = stream.set_nodelay(true);
         let handshake = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake::<_, Full<Bytes>>(TokioIo::new(stream))
             .await;
         let Ok((sender, connection)) = handshake else { return Err(CallError::Unreachable) };
-        // Its errors show at the sender and the body.
+        // Errors of the connection are returned by the sender and the body.
         let task = tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(Connection { sender, _task: ConnectionTask(task.abort_handle()) })
     }
 
-    /// A request can be sent on it now.
+    /// Whether a request can be sent now.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// There is no answer. The request comes back if it was not sent.
+    /// Returns an error if there is no answer, together with the request if it was not sent.
     pub async fn send(
         &mut self,
         request: OutRequest,
@@ -128,14 +130,15 @@
 }
 
 impl ConnectionPool {
-    /// Calls an endpoint: over a kept connection if there is one, else over a new one.
+    /// Calls an endpoint over an idle connection, or else over a new one.
     ///
-    /// After `limit` the endpoint is asked by `alive` whether it lives; while it does, the answer is
-    /// waited for until `longest`. An endpoint that went dark says nothing on its open connections,
-    /// and one that is busy says nothing either: to give the second one up would waste its work.
+    /// After `answer_timeout` the endpoint is asked by `liveness_request` whether it is alive;
+    /// while it is, the answer is awaited until `max_wait`. Neither an unreachable endpoint nor a
+    /// busy one sends anything on its open connections, and giving up the busy one would waste its
+    /// work.
     ///
     /// # Errors
-    /// There is no answer.
+    /// Returns an error if there is no answer.
     pub async fn call_while_alive(
         &self,
         target: &Target,
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Whether the endpoint answers over a new connection, whatever it says: a kept one may have gone
-    /// silent with what was at its other end.
+    /// Checks whether the endpoint answers over a new connection, whatever the answer is. An idle
+    /// connection may have been cut off together with the process at its other end.
     pub async fn probe(&self, target: &Target, request: OutRequest) -> Liveness {
         let answer = async {
             let mut connection = Connection::connect(target.addr, LIVENESS_TIMEOUT).await?;
@@ -172,16 +175,16 @@
         }
     }
 
-    /// The endpoint answers.
+    /// Whether the endpoint answers a liveness request successfully.
     pub async fn is_alive(&self, target: &Target, request: OutRequest) -> bool {
         let answer = self.call(target, request, LIVENESS_TIMEOUT).await;
         answer.is_ok_and(|(response, _)| response.status().is_success())
     }
 
-    /// Calls an endpoint: over a kept connection if there is one, else over a new one.
+    /// Calls an endpoint over an idle connection, or else over a new one.
     ///
     /// # Errors
-    /// There is no answer.
+    /// Returns an error if there is no answer.
     pub async fn call(
         &self,
         target: &Target,
@@ -194,7 +197,7 @@
             let left = answer_timeout.saturating_sub(start.elapsed());
             match connection.send(request, left).await {
                 Ok(response) => return Ok((response, connection)),
-                // The endpoint closed the connection before anything was sent on it.
+                // The endpoint closed the connection before anything was sent.
                 Err((_, Some(unsent))) => request = *unsent,
                 Err((error, None)) => return Err(error),
             }
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Keeps a connection for reuse after its answer was read to the end.
     pub fn keep(
         &self,
         endpoint: EndpointKey,
@@ -229,12 +232,12 @@
         }
     }
 
-    /// Closes what is kept open to an endpoint.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointKey) {
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
@@ -244,7 +247,8 @@
         idle.retain(|_, list| !list.is_empty());
     }
 
-    /// The connection that was used last, so that those beyond need can go idle and close.
+    /// Returns the connection that was used last, so that surplus connections become idle and
+    /// close.
     fn take_idle(&self, endpoint: EndpointKey) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
--- a/crates/basilbank_gateway/src/dialect.rs
+++ b/crates/basilbank_gateway/src/dialect.rs
@@ -1,36 +1,37 @@
-//! How a platform spells what the gateway sends and receives.
+//! What the gateway has to know of a platform's requests and answers.
 
 use basilbank_forward::prelude::*;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, Response, StatusCode, http::request::Parts};
 
-/// A request that goes out.
+/// A request to an endpoint.
 pub type OutRequest = Request<Full<Bytes>>;
 
-/// The platform's names, formats and calls, as functions. None of them decides anything.
+/// The platform's header names, formats and requests, as functions. None of them makes decisions.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Reads what decisions need from a caller's request head. The digest is the gateway's to fill in.
+    /// Parses a caller's request head. The gateway fills in the digest.
     pub parse_call: fn(RequestId, &Parts) -> Result<Call, InvalidCall>,
-    /// Writes the request of an attempt. The last argument is the last event that the caller has,
-    /// when a stream goes on at this endpoint.
+    /// Builds the request of an attempt. The last argument is the id of the last event that the
+    /// caller has received, if a stream continues at this endpoint.
     pub attempt_request: fn(&Parts, &Bytes, &Attempt, Option<&str>) -> OutRequest,
-    /// Reads an answer's head.
+    /// Classifies an answer by its head.
     pub classify_answer: fn(&Call, &Op, &Response<()>) -> AnswerKind,
-    /// Reads how many calls a second the endpoint takes from all daemons together, if it says so.
+    /// Reads how many calls per second the endpoint accepts from all daemons together, if the
+    /// answer states it.
     pub call_limit: fn(&Response<()>) -> Option<f64>,
-    /// Reads the body of an answer that is meant for the router itself.
+    /// Parses the body of an answer that is meant for the router itself.
     pub parse_control_answer: fn(&Op, &[u8]) -> Option<Outcome>,
-    /// Writes the request that frees a KV cache.
+    /// Builds the request that frees a KV cache.
     pub free_request: fn(&str) -> OutRequest,
-    /// Writes the request that gives a held slot back.
+    /// Builds the request that releases a held slot.
     pub release_hold_request: fn(&str) -> OutRequest,
-    /// Writes the request that asks an instance whether it lives.
+    /// Builds the request that asks an instance whether it is alive.
     pub liveness_request: fn(&str) -> OutRequest,
-    /// Writes the order to change the stage, for a holder with a fencing number.
+    /// Builds the order to change the stage, for a holder with a fencing number.
     pub order_request: fn(Stage, &str, u64, &str) -> OutRequest,
-    /// The status for an answer of the router's own.
+    /// Returns the HTTP status of a refusal.
     pub refusal_status: fn(Refusal) -> StatusCode,
 }
 
@@ -39,19 +40,20 @@
 pub enum AnswerKind {
     /// The endpoint did not run the call.
     NotRun(NotRun),
-    /// It is the answer, to be passed on.
+    /// The answer is for the caller.
     Forward,
-    /// It is meant for the router itself.
+    /// The answer is meant for the router itself.
     Control,
-    /// It belongs to another call, or lacks what marks an endpoint's answer: the call may have run.
+    /// The answer belongs to another call, or lacks the mark of endpoints' answers: the call may
+    /// have run.
     Unclear,
 }
 
-/// A request that can't be taken.
+/// A request that can't be parsed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct InvalidCall {
-    /// Its caller's id, if there is one.
+    /// The caller's id for the request, or empty.
     pub trace_id: String,
-    /// What is wrong with it.
+    /// Stable reason for the refusal.
     pub reason: &'static str,
 }
--- a/crates/basilbank_gateway/src/digest.rs
+++ b/crates/basilbank_gateway/src/digest.rs
@@ -1,4 +1,4 @@
-//! The digest of a request: the same for each attempt that asks for the same.
+//! The digest of a request, which is the same for each retry of it.
 
 use basilbank_forward::prelude::*;
 use bytes::Bytes;
@@ -10,12 +10,12 @@
 
 /// Hashes method, host, path with query, credentials and body.
 ///
-/// The key that names a caller's team is left out: the decisions add the team, so that nothing of a key is
-/// in what daemons tell each other and log.
+/// The key that names a caller's team is left out: the reducer adds the team, so that no part of a
+/// key is in messages between daemons or in logs.
 ///
-/// Headers that callers change from one attempt to the next (ids, deadlines, estimates) are left out, and so
-/// is the caller's address: a caller that tries again comes by another connection, at times through another
-/// data centre.
+/// Headers that callers change from one attempt to the next (ids, deadlines, estimates) are left
+/// out, and so is the caller's address: a caller that retries uses another connection, at times
+/// through another data centre.
 pub fn digest(head: &Parts, body: &Bytes) -> Digest {
     let header = |name| head.headers.get(name).map_or(&b""[..], |value| value.as_bytes());
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -28,7 +28,8 @@
     ];
     let mut hasher = Xxh3::new();
     for part in parts {
-        // Lengths keep what ends one part from counting as the next one's beginning.
+        // Lengths separate the parts: otherwise bytes could move from the end of one part to the
+        // start of the next without changing the hash.
         hasher.update(&part.len().to_le_bytes());
         hasher.update(part);
     }
--- a/crates/basilbank_gateway/src/gateway.rs
+++ b/crates/basilbank_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A whole gateway: its listeners, its end.
+//! A gateway with its listeners, and its shutdown.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,29 +18,29 @@
     status_listener,
 };
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: i32 = 1024;
 
-/// How long callers are accepted after SIGTERM. The balancer asks once a second and stops sending
+/// How long callers are accepted after SIGTERM. The balancer checks once a second and stops sending
 /// after two answers other than 200; closing earlier would refuse connections that it still sends.
 const ACCEPT_AFTER_SHUTDOWN: Duration = Duration::from_millis(3300);
 
-/// Kept of the grace for closing what is left.
+/// Part of the grace period that is left for closing what remains.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(600);
 
-/// How often the end is looked for.
+/// Interval between checks whether all connections are closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where to listen.
+/// Addresses to listen on.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Addresses {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// The balancer's question, and metrics.
+    /// Address for the balancer's health check, and for metrics.
     pub ready: SocketAddr,
-    /// The daemons' datagrams.
+    /// Address for the daemons' datagrams.
     pub peers: SocketAddr,
-    /// Metrics alone, besides the ready address.
+    /// Address for metrics alone, besides the ready address.
     pub metrics: Option<SocketAddr>,
 }
 
@@ -55,10 +55,10 @@
 }
 
 impl Gateway {
-    /// Listens, and serves from then on.
+    /// Opens the listeners and starts to serve.
     ///
     /// # Errors
-    /// An address can't be had.
+    /// Returns an error if it can't listen on an address.
     pub async fn start(router: Rc<Router>, addresses: Addresses) -> anyhow::Result<Gateway> {
         let listener = listen(addresses.callers).context("callers' address")?;
         let status_listener = listen(addresses.ready).context("ready address")?;
@@ -81,20 +81,20 @@
         Ok(Gateway { router, phase, open_connections: open, callers, ready })
     }
 
-    /// Where callers connect.
+    /// Returns the address to which callers connect.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where the balancer asks.
+    /// Returns the address of the balancer's health check.
     #[must_use]
     pub fn ready(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Leaves within `grace`: not ready at once, callers are accepted until the balancer has
-    /// noticed, then all in progress is finished.
+    /// Shuts down within `grace`. The gateway reports at once that it is not ready, accepts callers
+    /// until the balancer has noticed, and then finishes all calls in progress.
     pub async fn shut_down(self, grace: Duration) {
         let grace = grace.saturating_sub(SHUTDOWN_MARGIN);
         let end = Instant::now() + grace;
@@ -110,7 +110,7 @@
 
 fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // A restart must not wait for the connections of the process before.
+    // A restart must not wait for the connections of the previous process.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
--- a/crates/basilbank_gateway/src/gossip.rs
+++ b/crates/basilbank_gateway/src/gossip.rs
@@ -10,15 +10,15 @@
 
 use crate::router::Router;
 
-/// Largest datagram that is read: a thousand endpoints.
+/// Maximum size of a datagram that is read: it holds a thousand endpoints.
 const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 
-/// Hears peers until the task is dropped.
+/// Receives datagrams of peers until the task is dropped.
 pub async fn receive(router: Rc<Router>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            // A peer's port was closed; the others' datagrams go on.
+            // The error reports a closed port of one peer; datagrams of the others still arrive.
             tokio::task::yield_now().await;
             continue;
         };
@@ -31,8 +31,8 @@
     }
 }
 
-/// Sends one datagram to each. What can't be sent at once is lost, as datagrams may be; the next
-/// one says it all again.
+/// Sends one datagram to each peer. What can't be sent at once is lost, as datagrams may be; the
+/// next one repeats the content.
 pub fn send(socket: &UdpSocket, to: &[SocketAddr], gossip: &LoadGossip) {
     let bytes = gossip.encode_to_vec();
     for address in to {
--- a/crates/basilbank_gateway/src/lib.rs
+++ b/crates/basilbank_gateway/src/lib.rs
@@ -1,7 +1,8 @@
-//! The shell of forwarded calls: sockets and timers become events, effects are carried out.
+//! The I/O layer of forwarded calls: turns sockets and timers into events, and carries out effects.
 //!
 //! All of it runs on one thread: a daemon has a fraction of a core, and a second thread would only
-//! add wake-ups. How a platform spells things is not known here; a [`Dialect`] says it.
+//! add wake-ups. The crate doesn't know the platform's header names and formats; a [`Dialect`]
+//! provides them.
 
 mod attempt;
 mod caller_listener;
--- a/crates/basilbank_gateway/src/metrics.rs
+++ b/crates/basilbank_gateway/src/metrics.rs
@@ -29,10 +29,11 @@
     team: String,
 }
 
-/// Teams that have metrics of their own: those that use most through this daemon.
+/// Maximum number of teams that have metrics of their own: those with the highest usage through
+/// this daemon.
 const MAX_TEAMS: usize = 50;
 
-/// All of them. Names carry the prefix `basilbank_forward_`.
+/// The metrics of forwarded calls. Their names have the prefix `basilbank_forward_`.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -128,38 +129,38 @@
 }
 
 impl Metrics {
-    /// A call went out.
+    /// Counts a call to an endpoint.
     pub fn count_sent(&self, op: &str) {
         count(&self.sent, op);
     }
 
-    /// A refusal or failure of the router's own.
+    /// Counts a refusal or failure that the router itself reports.
     pub fn count_refused(&self, refusal: Refusal) {
         count(&self.refused, refusal.as_str());
     }
 
-    /// A refusal before the decisions heard of the call.
+    /// Counts a refusal of a call that did not get as far as the reducer.
     pub fn count_refused_early(&self, reason: &str) {
         count(&self.refused, reason);
     }
 
-    /// A call to the platform's store.
+    /// Counts a call to the platform's store.
     pub fn count_store_call(&self, outcome: &str) {
         count(&self.store_calls, outcome);
     }
 
-    /// The store was asked.
+    /// Counts a read of the store by its reason.
     pub fn count_store_read(&self, topic: Topic, reason: ReadReason) {
         let (topic, reason) = (topic.as_str().to_owned(), reason.as_str().to_owned());
         self.store_reads.get_or_create(&StoreReadLabels { topic, reason }).inc();
     }
 
-    /// A version of an entry of the store can't be used.
+    /// Counts a version of a record of the store that can't be used.
     pub fn count_unusable_record(&self, reason: &str) {
         count(&self.unusable_records, reason);
     }
 
-    /// A dark endpoint was asked whether it lives.
+    /// Counts a probe of an unreachable endpoint.
     pub fn count_probe(&self, liveness: Liveness) {
         let answer = match liveness {
             Liveness::Alive => "alive",
@@ -168,17 +169,18 @@
         count(&self.probes, answer);
     }
 
-    /// Whether calls are taken.
+    /// Sets whether calls are accepted.
     pub fn set_ready(&self, ready: i64) {
         self.ready.set(ready);
     }
 
-    /// How old the view of the list of endpoints is.
+    /// Sets the age of the view of the list of endpoints.
     pub fn set_view_age(&self, age: Duration) {
         self.view_age.set(age.as_secs_f64());
     }
 
-    /// How old the proof is that the configuration is the newest, and what teams use through this daemon.
+    /// Sets the time since the configuration was confirmed to be the newest, and the usage of teams
+    /// through this daemon.
     pub fn set_team_usage(&self, state: &State, now: Duration) {
         if let Some(age) = state.freshness.age(now) {
             self.confirmation_age.set(age.as_secs_f64());
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Counts what a line of the log tells.
+    /// Records the measurement of a log line.
     pub fn record_measurement(&self, measurement: Measurement) {
         match measurement {
             Measurement::Attempt { outcome, duration } => {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// All of them as text.
+    /// Encodes all metrics as text.
     #[must_use]
     pub fn encode_text(&self) -> String {
         let mut text = String::new();
--- a/crates/basilbank_gateway/src/progress.rs
+++ b/crates/basilbank_gateway/src/progress.rs
@@ -1,36 +1,37 @@
-//! How far an answer has come.
+//! Progress of an answer that is being received.
 
 use std::{cell::Cell, rc::Rc};
 
 use tokio::time::Instant;
 
-/// Bytes that count as getting on: one packet. An answer that drips would otherwise never end.
+/// Bytes that count as progress: one packet. An answer that sends single bytes would otherwise
+/// never end.
 const MIN_PROGRESS_BYTES: usize = 1024;
 
-/// What has arrived of a read so far. The source counts, the reader judges: by how long nothing has
-/// come, never by how long all of it takes. How much there is to read is not the reader's choice, and
-/// how fast it comes not the store's; a read that is given up while it gets on is begun again at its
-/// first byte, has more to bring then, and may never end.
+/// What has arrived of a read so far. The source counts, and the reader decides: by the time
+/// without data, never by the total time. The reader doesn't choose how much there is to read, and
+/// the store doesn't choose how fast it arrives. A read that is given up while data arrives starts
+/// again at its first byte, has more to transfer then, and may never end.
 #[derive(Clone, Debug, Default)]
 pub struct Progress(Rc<ProgressState>);
 
 #[derive(Debug, Default)]
 struct ProgressState {
-    /// The store's era, as the answer's head says.
+    /// The store's era, as stated in the answer's head.
     era: Cell<Option<u64>>,
     bytes: Cell<usize>,
-    /// When the read got on last, and how many bytes there were then.
+    /// Time of the last progress, and the number of bytes at that time.
     last_progress: Cell<Option<(Instant, usize)>>,
 }
 
 impl Progress {
-    /// The answer's head came, with the store's era if it says it.
+    /// Records the answer's head, with the store's era if it states one.
     pub fn record_head(&self, era: Option<u64>) {
         self.0.era.set(era);
         self.0.last_progress.set(Some((Instant::now(), self.bytes())));
     }
 
-    /// So many bytes of its body came.
+    /// Records bytes of the body.
     pub fn record_bytes(&self, bytes: usize) {
         let total = self.bytes() + bytes;
         self.0.bytes.set(total);
@@ -40,19 +41,19 @@
         }
     }
 
-    /// The store's era, if the answer's head has come and says it.
+    /// Returns the store's era, if the answer's head has arrived and states it.
     #[must_use]
     pub fn era(&self) -> Option<u64> {
         self.0.era.get()
     }
 
-    /// Bytes of the body so far.
+    /// Returns the number of bytes of the body received so far.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.0.bytes.get()
     }
 
-    /// When it got on last.
+    /// Returns the time of the last progress.
     #[must_use]
     pub fn last_progress(&self) -> Option<Instant> {
         self.0.last_progress.get().map(|(at, _)| at)
--- a/crates/basilbank_gateway/src/reader.rs
+++ b/crates/basilbank_gateway/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration and the list of endpoints from the platform's store: asks what
-//! `basilbank_forward::reading` decides, and tells it what comes.
+//! Reads the configuration and the list of endpoints from the platform's store: starts the reads
+//! that `basilbank_forward::reading` decides on, and reports their progress and outcome to it.
 
 use std::{
     future::poll_fn,
@@ -19,8 +19,9 @@
     unusable::{UnusableRecord, UnusableRecordLog},
 };
 
-/// Given to what has reached this process and was not taken in yet. A process that stood still finds
-/// its limits passed and the answer in its sockets; without this it would ask again for what is there.
+/// Time to handle data that has reached this process but was not processed yet. After a pause of
+/// the process, timeouts have passed while the answer waits in the socket; without this time the
+/// process would read again what it has already received.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
 
 /// Reads a topic until the task is dropped.
@@ -48,41 +49,41 @@
     topic: Topic,
     source: Source,
     pending: Vec<PendingRead>,
-    /// Pages of everything that were read so far.
+    /// Pages of the current full read that were received so far.
     pages: Reading,
-    /// Entries that can't be used.
+    /// Unusable records.
     unusable: UnusableRecordLog,
-    /// The newest configuration can't be used, so the one in force isn't the newest.
+    /// Whether the newest configuration can't be used, so that the one in force isn't the newest.
     is_newest_unusable: bool,
 }
 
-/// A question that is open.
+/// An open read.
 struct PendingRead {
     id: ReadId,
     read: ReadFuture,
     progress: Progress,
-    /// When it went out.
+    /// When the read was started.
     started_at: Duration,
-    /// The progress that was told.
+    /// The last progress that was reported to the reducer.
     reported_progress: Option<Instant>,
     is_page: bool,
 }
 
-/// A question that came to its end.
+/// A read that ended.
 struct EndedRead {
     pending: PendingRead,
     result: Result<Reading, ReadError>,
 }
 
 impl TopicReader {
-    /// Waits for the next answer, or until it is time to look at the questions that are open.
+    /// Waits for the next answer, or until the open reads have to be checked.
     async fn next_ended(&mut self) -> Option<EndedRead> {
         let (router, topic) = (Rc::clone(&self.router), self.topic);
         let pause = router.reader_pause(topic);
         let settle = if self.pending.is_empty() { Duration::ZERO } else { SETTLE_TIME };
         let due = async {
             sleep(pause).await;
-            // Counted from here: a process that stood still gets it, too.
+            // Starts after the first sleep, so that it also applies after a pause of the process.
             sleep(settle).await;
         };
         tokio::select! {
@@ -102,7 +103,7 @@
         Poll::Pending
     }
 
-    /// Tells the decisions what happened, and does what they say.
+    /// Passes an event to the reducer of reads, and runs the effects.
     fn step(&mut self, event: ReadEvent) {
         let mut effects = Vec::new();
         for pending in &mut self.pending {
@@ -181,7 +182,7 @@
         self.step(ReadEvent::Ended { read: pending.id, era, outcome });
     }
 
-    /// Takes an answer in, if it counts in an era of the store.
+    /// Applies an answer if it is used in an era of the store.
     fn handle_reading(
         &mut self,
         pending: &PendingRead,
@@ -192,7 +193,7 @@
         self.report_unusable(&unusable);
         let outcome = ReadOutcome::Answer {
             store_revision: reading.revisions.store.number,
-            // A change that can't be used is one, too: it costs the same.
+            // An unusable change counts as a change: it costs the same.
             changed: !reading.revisions.latest_change.is_none() || !unusable.is_empty(),
             next_page: reading.next_page.clone(),
             bytes: pending.progress.bytes(),
@@ -225,7 +226,7 @@
         outcome
     }
 
-    /// Counts and tells what can't be used.
+    /// Counts and logs unusable records.
     fn report_unusable(&mut self, records: &[UnusableRecord]) {
         for record in records {
             if !self.unusable.is_new(record) {
--- a/crates/basilbank_gateway/src/relay.rs
+++ b/crates/basilbank_gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream's events on as they come.
+//! Forwards a stream's events as they arrive.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,19 +10,20 @@
 
 use crate::{attempt::AnswerStream, response::Chunk, router::Router};
 
-/// Largest event that is kept back until it is whole.
+/// Maximum size of an event, which is buffered until it is complete.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// How a stream ended.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct RelayEnd {
-    /// It ended whole.
+    /// Whether the stream is complete.
     pub is_complete: bool,
-    /// The id of the last event that was passed on whole.
+    /// Id of the last event that was forwarded completely.
     pub last_event_id: Option<String>,
 }
 
-/// Passes whole events on, so that a stream can go on elsewhere without a torn event between.
+/// Forwards complete events only, so that a stream can continue at another endpoint without a
+/// partial event in between.
 pub async fn relay(
     router: Rc<Router>,
     stream: AnswerStream,
@@ -51,7 +52,7 @@
     RelayEnd { is_complete, last_event_id: events.last_event_id }
 }
 
-/// The next frame; an error when the stream is silent and its endpoint too.
+/// Returns the next frame, or an error if neither the stream nor its endpoint answers.
 async fn next_frame(
     router: &Router,
     target: &Target,
@@ -75,10 +76,10 @@
     }
 }
 
-/// The stream broke off, or is silent.
+/// The stream broke off or stalled.
 struct StreamBroken;
 
-/// Cuts a stream of bytes into whole events.
+/// Splits a stream of bytes into complete events.
 #[derive(Debug, Default)]
 struct EventSplitter {
     partial: BytesMut,
@@ -86,7 +87,7 @@
 }
 
 impl EventSplitter {
-    /// All events that are whole by now. A blank line ends an event.
+    /// Adds bytes and returns all events that are complete by now. A blank line ends an event.
     fn push(&mut self, data: &[u8]) -> Bytes {
         let from = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(data);
@@ -99,14 +100,14 @@
     }
 }
 
-/// Where the last blank line ends.
+/// Returns the position after the last blank line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let plain = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
     let crlf = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
     plain.max(crlf)
 }
 
-/// The id of the last event that has one.
+/// Returns the id of the last event that has one.
 fn last_event_id(events: &[u8]) -> Option<String> {
     let lines = events.split(|byte| *byte == b'\n').rev();
     let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
--- a/crates/basilbank_gateway/src/request.rs
+++ b/crates/basilbank_gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its head to the end of its answer.
+//! Serves one caller's request, from its head to the end of the response.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -18,7 +18,7 @@
     router::{RequestEffect, Router},
 };
 
-/// Pieces of a stream that may wait for a slow caller.
+/// Maximum number of chunks of a stream that wait for a slow caller.
 const MAX_QUEUED_CHUNKS: usize = 32;
 
 /// Serves one request.
@@ -55,13 +55,13 @@
         last_event_id: None,
     };
     spawn_local(task.run());
-    // The task always answers; it would only be gone after a panic.
+    // The task always answers; it is gone without an answer only after a panic.
     let internal_error =
         || ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, "lost").to_response();
     response.await.unwrap_or_else(|_| internal_error())
 }
 
-/// The answer to a body that can't be used.
+/// Returns the response to a body that can't be used.
 fn body_error_response(error: BodyError) -> ErrorResponse {
     match error {
         BodyError::TooLong => ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large"),
@@ -70,7 +70,8 @@
     }
 }
 
-/// Too long by a configuration that is no longer in force may be allowed: the caller may come back.
+/// Tells the caller to retry if a body is too long by a configuration that is outdated: the current
+/// one may allow it.
 fn retry_if_outdated(answer: ErrorResponse, state: &State) -> ErrorResponse {
     if answer.status != StatusCode::PAYLOAD_TOO_LARGE || !state.is_configuration_outdated() {
         return answer;
@@ -79,7 +80,7 @@
     response.with_retry_after(Some(state.tuning.retry_after))
 }
 
-/// Refuses a request that the decisions never heard of.
+/// Refuses a request before it gets to the reducer.
 fn refuse_early(router: &Router, answer: &ErrorResponse, trace_id: &str) -> Response<ResponseBody> {
     router.metrics.count_refused_early(answer.reason);
     let line = basilbank::logs::Line::new("refused_early")
@@ -89,18 +90,18 @@
     answer.to_response()
 }
 
-/// Where the answer goes.
+/// Where the response is sent.
 enum Responder {
     /// Nothing has been sent to the caller.
     Waiting(oneshot::Sender<Response<ResponseBody>>),
     /// A stream is being sent.
     Streaming(mpsc::Sender<Chunk>),
-    /// All has been handed over.
+    /// The response is complete, or has been handed over.
     Done,
 }
 
 impl Responder {
-    /// The caller left.
+    /// Waits until the caller leaves.
     async fn closed(&mut self) {
         match self {
             Responder::Waiting(sender) => sender.closed().await,
@@ -110,7 +111,7 @@
     }
 }
 
-/// What a piece of the task's work came to.
+/// Result of an attempt, or of the relay of its stream.
 enum TaskResult {
     Attempt(AttemptResult),
     Relay(RelayEnd),
@@ -129,7 +130,7 @@
     last_event_id: Option<String>,
 }
 
-/// Whether the task goes on.
+/// Whether the task continues.
 enum Flow {
     Continue,
     Stop,
@@ -155,7 +156,7 @@
                 break;
             }
         }
-        // Whatever is left of the request is stopped: the caller has its answer, or is gone.
+        // What is left of the request is stopped: the caller has its answer, or is gone.
         self.router.dispatch(Event::CallerLeft(self.id));
         self.router.unregister(self.id);
     }
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Ends the stream whole. The channel has room, or the caller is slow and gets the end later.
+    /// Completes the stream. If the channel is full because the caller is slow, the end is sent
+    /// later.
     fn finish_stream(&mut self) {
         let Responder::Streaming(chunks) = std::mem::replace(&mut self.responder, Responder::Done)
         else {
@@ -251,7 +253,7 @@
             Responder::Waiting(_) | Responder::Done => {
                 let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
                 let mut headers = std::mem::take(&mut stream.headers);
-                // The stream may go on elsewhere, so its length is open.
+                // The stream may continue at another endpoint, so its length is unknown.
                 headers.remove(CONTENT_LENGTH);
                 let body = ResponseBody::Chunks(receiver);
                 self.respond(forwarded_response(stream.status, headers, body));
--- a/crates/basilbank_gateway/src/request_body.rs
+++ b/crates/basilbank_gateway/src/request_body.rs
@@ -1,4 +1,4 @@
-//! A caller's body.
+//! Reads the bodies of callers' requests.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use hyper::body::Body;
 use tokio::time::{Instant, timeout_at};
 
-/// Time for a body besides what its bytes earn.
+/// Time for a body before its bytes extend the deadline.
 const BASE_TIME: Duration = Duration::from_secs(10);
 
-/// Why a body is not had.
+/// Why a body can't be used.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum BodyError {
     /// It is longer than allowed.
     TooLong,
-    /// It broke off, or is framed wrongly.
+    /// It ended early, or its framing is invalid.
     Broken,
-    /// It comes too slowly.
+    /// It arrives too slowly.
     TooSlow,
 }
 
-/// Reads a body of at most so many bytes.
+/// Reads a body of at most `max_bytes`.
 ///
 /// # Errors
-/// There is none that can be used. One that says that it is too long isn't waited for.
+/// Returns why the body can't be used. A body whose announced length is too long is not read.
 pub async fn read_body<B>(body: B, max_bytes: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes> + Unpin,
--- a/crates/basilbank_gateway/src/response.rs
+++ b/crates/basilbank_gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers of the router's own, and the bodies that go out.
+//! Responses that the router itself gives, and the bodies of all responses.
 
 use std::{
     convert::Infallible,
@@ -16,31 +16,32 @@
 };
 use tokio::sync::mpsc;
 
-/// A piece of a stream.
+/// A part of a stream.
 #[derive(Debug)]
 pub enum Chunk {
-    /// Some bytes.
+    /// Bytes of the stream.
     Data(Bytes),
-    /// The stream ended whole.
+    /// The stream is complete.
     End,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All at once.
+    /// The body in one part.
     Full(Option<Bytes>),
-    /// Piece by piece.
+    /// The body as a stream.
     Chunks(mpsc::Receiver<Chunk>),
 }
 
-/// A stream was given up midway. The connection must end so that it doesn't look complete.
+/// The error of a stream that is given up before its end. It ends the connection, so that the
+/// stream doesn't look complete.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StreamAborted;
 
 impl fmt::Display for StreamAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the stream was cut")
+        f.write_str("stream aborted before its end")
     }
 }
 
@@ -65,8 +66,8 @@
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            // A channel that closes without an end means that the stream's task is gone: were that
-            // an end, half a stream would look complete.
+            // A channel that closes without `End` means that the stream's task is gone. If that
+            // ended the body, an incomplete stream would look complete.
             ResponseBody::Chunks(chunks) => match ready!(chunks.poll_recv(cx)) {
                 Some(Chunk::Data(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 Some(Chunk::End) => Poll::Ready(None),
@@ -89,32 +90,32 @@
     }
 }
 
-/// An answer of the router's own.
+/// A response that the router itself gives.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ErrorResponse {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its stable reason.
+    /// Stable reason, written into the body.
     pub reason: &'static str,
-    /// When another try may succeed.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl ErrorResponse {
-    /// An answer with a status and a reason.
+    /// Creates a response with a status and a reason.
     #[must_use]
     pub fn new(status: StatusCode, reason: &'static str) -> ErrorResponse {
         ErrorResponse { status, reason, retry_after: None }
     }
 
-    /// With a time to come back.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub fn with_retry_after(mut self, after: Option<Duration>) -> ErrorResponse {
         self.retry_after = after;
         self
     }
 
-    /// The response.
+    /// Builds the HTTP response.
     #[must_use]
     pub fn to_response(&self) -> Response<ResponseBody> {
         let body = Bytes::from(format!("{{\"error\":\"{}\"}}\n", self.reason));
@@ -132,7 +133,7 @@
     }
 }
 
-/// An endpoint's answer, as it is passed on.
+/// Builds the response that forwards an endpoint's answer.
 #[must_use]
 pub fn forwarded_response(
     status: StatusCode,
--- a/crates/basilbank_gateway/src/router.rs
+++ b/crates/basilbank_gateway/src/router.rs
@@ -1,4 +1,4 @@
-//! Owns the decisions' state, feeds events in and hands effects out.
+//! Owns the reducer's state, passes events to the reducer and carries out its effects.
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -26,33 +26,33 @@
     metrics::Metrics,
 };
 
-/// Longest sleep of the timer.
+/// Maximum sleep of the timer.
 const MAX_TIMER_SLEEP: Duration = Duration::from_millis(500);
 
-/// Limit of calls that give something back: some round trips.
+/// Timeout of calls that release a resource: some round trips.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Limit of an order.
+/// Timeout of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// An effect for one request's task.
 #[derive(Debug)]
 pub enum RequestEffect {
-    /// Carry an attempt out.
+    /// Start an attempt.
     Start(Attempt),
     /// Stop an attempt.
     Stop(u32),
-    /// Pass an attempt's answer on.
+    /// Forward an attempt's answer.
     Deliver(u32),
-    /// Answer with a refusal or failure.
+    /// Respond with a refusal or failure.
     Refuse(Refusal, Option<Duration>),
-    /// End a stream that can't be finished.
+    /// Abort a stream that can't be completed.
     AbortStream,
 }
 
-/// The one place that runs the reducer.
+/// Runs the reducer; nothing else does.
 pub struct Router {
-    /// How the platform spells things.
+    /// The platform's requests and formats.
     pub dialect: Dialect,
     /// Connections to endpoints.
     pub connections: ConnectionPool,
@@ -64,7 +64,7 @@
     next_id: Cell<u64>,
     timer_changed: Notify,
     readers: RefCell<Readers>,
-    /// There are news for a topic's reader.
+    /// Notified when a topic's reader has to check for changes.
     reader_wakeups: PerTopic<Notify>,
     socket: OnceCell<Rc<UdpSocket>>,
 }
@@ -76,7 +76,7 @@
 }
 
 impl Router {
-    /// A router around a state.
+    /// Creates a router with a state.
     #[must_use]
     pub fn new(
         state: State,
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Talks to peers over this socket from now on.
+    /// Sends and receives gossip over this socket from now on.
     pub fn start_gossip(self: &Rc<Self>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         if self.socket.set(Rc::clone(&socket)).is_ok() {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A number for a request that comes in, and its effects.
+    /// Registers a new request. Returns its id and the receiver of its effects.
     pub fn register(&self) -> (RequestId, mpsc::UnboundedReceiver<RequestEffect>) {
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -116,7 +116,7 @@
         (id, effects)
     }
 
-    /// The request's task is over.
+    /// Removes a request whose task has ended.
     pub fn unregister(&self, id: RequestId) {
         self.request_effects.borrow_mut().remove(&id);
     }
@@ -126,12 +126,12 @@
         f(&self.state.borrow())
     }
 
-    /// The monotonic time.
+    /// Returns the monotonic time.
     pub fn now(&self) -> Duration {
         self.clock.now().mono
     }
 
-    /// Runs the decisions about reads of a topic for one event.
+    /// Passes an event to a topic's reader.
     pub fn step_reader(&self, topic: Topic, event: ReadEvent, effects: &mut Vec<ReadEffect>) {
         let context = self.state.borrow_mut().reader_context(topic);
         let mut readers = self.readers.borrow_mut();
@@ -140,27 +140,27 @@
         }
     }
 
-    /// The store's era in which an answer counts; `None` if it doesn't.
+    /// Returns the store's era in which an answer is used; `None` if the answer is discarded.
     pub fn accepted_era(&self, topic: Topic, read: ReadId, era: Option<u64>) -> Option<u64> {
         self.readers.borrow().accepted_era(topic, read, era)
     }
 
-    /// How long nothing is to be done about a topic's reads, unless something happens.
+    /// Returns the time until a topic's reader needs a `Tick`, unless something happens before.
     pub fn reader_pause(&self, topic: Topic) -> Duration {
         self.readers.borrow().wake_at(topic).saturating_sub(self.now())
     }
 
-    /// Waits until something happens that a topic's reader has to know.
+    /// Waits until a topic's reader has to check for changes.
     pub async fn wait_for_wakeup(&self, topic: Topic) {
         self.reader_wakeups.get(topic).notified().await;
     }
 
-    /// Changes constants when settings change.
+    /// Updates the tuning constants when settings change.
     pub fn update_tuning(&self, update: impl FnOnce(&mut Tuning)) {
         update(&mut self.state.borrow_mut().tuning);
     }
 
-    /// Runs the reducer for one event, and hands its effects out.
+    /// Runs the reducer for one event, and carries out its effects.
     pub fn dispatch(self: &Rc<Self>, event: Event) {
         let mut effects = Vec::new();
         {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Sends ticks when they are due, until the task is dropped.
+    /// Dispatches ticks when they are due, until the task is dropped.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let now = self.clock.now().mono;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Effects for a request whose task is over are dropped: its end crossed them.
+    /// Sends an effect to a request's task. If the task has ended meanwhile, the effect is dropped.
     fn send_to_request(&self, id: RequestId, effect: RequestEffect) {
         if let Some(sender) = self.request_effects.borrow().get(&id) {
             let _ = sender.send(effect);
@@ -257,7 +257,7 @@
     fn release(self: &Rc<Self>, resource: &'static str, target: Target, request: OutRequest) {
         let router = Rc::clone(self);
         spawn_local(async move {
-            // It lapses by itself at the endpoint when this fails.
+            // If the call fails, the resource expires at the endpoint.
             if let Err(error) = send_control(&router, &target, request, RELEASE_TIMEOUT).await {
                 let line = Line::new("not_given_back")
                     .with("what", resource)
@@ -299,7 +299,7 @@
         });
     }
 
-    /// Logs a line, and counts what it measures.
+    /// Writes a log line, and records its measurement.
     pub fn log(&self, entry: &LogLine) {
         if let Some(measurement) = entry.measurement {
             self.metrics.record_measurement(measurement);
--- a/crates/basilbank_gateway/src/source.rs
+++ b/crates/basilbank_gateway/src/source.rs
@@ -1,4 +1,4 @@
-//! What is asked of the platform's store, and what comes of it.
+//! Reads of the platform's store and their results.
 
 use std::{future::Future, pin::Pin};
 
@@ -6,26 +6,26 @@
 
 use crate::{progress::Progress, unusable::UnusableRecord};
 
-/// What was read of a topic.
+/// The result of a read of a topic.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Reading {
-    /// Where.
+    /// Revisions of the store and of the newest change.
     pub revisions: Revisions,
     /// The configuration, if it was read.
     pub table: Option<RouteTable>,
-    /// Entries of endpoints: those of a page, or new and changed ones.
+    /// Records of endpoints: those of a page, or new and changed ones.
     pub endpoints: Vec<EndpointInfo>,
-    /// Instances whose entries went.
+    /// Instances whose records were removed.
     pub removed: Vec<String>,
-    /// Entries that were left out.
+    /// Records that were left out.
     pub unusable: Vec<UnusableRecord>,
     /// Where the next page begins; none after the last.
     pub next_page: Option<String>,
 }
 
 impl Reading {
-    /// Takes the next page in. Pages are no snapshot: what changed since the first one is read as
-    /// changes after it, and what these repeat does no harm.
+    /// Adds the next page. Pages are not a snapshot: what has changed since the first one is read
+    /// as changes after it, and applying a change twice does no harm.
     pub fn append(&mut self, page: Reading) {
         if self.revisions.store.is_none() {
             self.revisions.store = page.revisions.store;
@@ -39,19 +39,19 @@
     }
 }
 
-/// Why nothing was read.
+/// Why a read failed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum ReadError {
-    /// The changes after this revision can't be had any more: all must be read again.
+    /// The store no longer has the changes after this revision: all records have to be read again.
     HistoryGone,
-    /// An answer is longer than the query allows.
+    /// An answer is larger than the query allows.
     TooLong,
-    /// The store was not reached, or did not answer as it should.
+    /// The store could not be reached, or returned an invalid answer or an error.
     Failed(String),
 }
 
 impl ReadError {
-    /// The stable name by which it is counted.
+    /// Returns the stable name that counters use.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -65,5 +65,5 @@
 /// A read in progress.
 pub type ReadFuture = Pin<Box<dyn Future<Output = Result<Reading, ReadError>>>>;
 
-/// How a topic is read from the platform's store. What arrives is counted.
+/// Reads a topic of the platform's store, and records the progress of the answer.
 pub type Source = Box<dyn Fn(Query, Progress) -> ReadFuture>;
--- a/crates/basilbank_gateway/src/status_listener.rs
+++ b/crates/basilbank_gateway/src/status_listener.rs
@@ -1,4 +1,4 @@
-//! The listener for the balancer's question and for metrics.
+//! The listener for the balancer's health check and for metrics.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -15,10 +15,10 @@
 
 use crate::router::Router;
 
-/// Longest time for a request's head, and for a connection to be idle.
+/// Maximum time for a request's head, and for a connection to be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers until the task is dropped.
+/// Serves until the task is dropped.
 pub async fn serve(router: Rc<Router>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -43,7 +43,7 @@
         .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
-    // The balancer closes its connections as it likes.
+    // The balancer may close its connections at any time.
     drop(served);
 }
 
--- a/crates/basilbank_gateway/src/unusable.rs
+++ b/crates/basilbank_gateway/src/unusable.rs
@@ -1,34 +1,35 @@
-//! What is wrong with entries of the store, and when a line says so.
+//! Unusable records of the store, and when they are logged.
 
 use std::collections::{HashMap, VecDeque};
 
 use basilbank::logs::Line;
 
-/// Lines about entries that one reading may write: whoever fills a store with rubbish must not fill
-/// the log, which is needed most just then.
+/// Maximum number of log lines about records per read. Whoever fills a store with invalid records
+/// must not fill the log, which is needed most at that time.
 const MAX_LINES_PER_READ: usize = 20;
 
-/// Entries that are remembered as told. One that was forgotten is told again.
+/// Maximum number of keys that are remembered as logged. A key that was forgotten is logged again.
 const MAX_REMEMBERED_KEYS: usize = 1024;
 
-/// Most bytes of a key or a detail in a finding. The store's keys have at most as many.
+/// Maximum size in bytes of a key or a detail. Keys of the store have at most as many.
 const MAX_TEXT_BYTES: usize = 200;
 
-/// An entry of the store that can't be used.
+/// A record of the store that can't be used.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct UnusableRecord {
-    /// Its key; empty if that can't be read.
+    /// The record's key; empty if it can't be read.
     pub key: String,
-    /// The revision of its last change; 0 if that can't be read.
+    /// Revision of the record's last change; 0 if it can't be read.
     pub revision: u64,
-    /// Why, as a stable name.
+    /// Why the record can't be used, as a stable name.
     pub reason: &'static str,
-    /// Where in it, shortly.
+    /// Which part of the record is wrong, in a few words.
     pub detail: String,
 }
 
 impl UnusableRecord {
-    /// A finding. Long texts are cut: another writer chose them.
+    /// Creates the description of an unusable record. Long texts are truncated, since another
+    /// writer chose them.
     #[must_use]
     pub fn new(key: &str, revision: u64, reason: &'static str, detail: &str) -> UnusableRecord {
         UnusableRecord { key: truncate(key), revision, reason, detail: truncate(detail) }
@@ -39,21 +40,22 @@
     text[..text.floor_char_boundary(MAX_TEXT_BYTES)].to_owned()
 }
 
-/// The findings of one topic so far. Each version of an entry is told once, however often it is read.
+/// The unusable records of one topic that were seen so far. Each version of a record is logged
+/// once, however often it is read.
 #[derive(Debug, Default)]
 pub struct UnusableRecordLog {
-    /// The last revision that was told of a key.
+    /// Last logged revision of each key.
     logged_revisions: HashMap<String, u64>,
-    /// Those keys, the oldest first.
+    /// Keys of that map, the oldest first.
     keys: VecDeque<String>,
-    /// Lines that this reading has written.
+    /// Number of lines logged in this read.
     line_count: usize,
-    /// Findings of this reading for which there was no line.
+    /// Number of records of this read that were not logged.
     suppressed: usize,
 }
 
 impl UnusableRecordLog {
-    /// Whether this version of an entry is told for the first time.
+    /// Records a version of a record. Returns whether it is seen for the first time.
     pub fn is_new(&mut self, record: &UnusableRecord) -> bool {
         match self.logged_revisions.insert(record.key.clone(), record.revision) {
             Some(logged) => logged != record.revision,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The line for a new finding, while there is room in this reading.
+    /// Returns the line for a new record, until the limit of this read is reached.
     pub fn log_line(&mut self, record: &UnusableRecord) -> Option<Line> {
         if self.line_count == MAX_LINES_PER_READ {
             self.suppressed += 1;
@@ -80,7 +82,7 @@
         Some(line.with("detail", &record.detail))
     }
 
-    /// The reading is over: the line that counts what had none.
+    /// Ends the read. Returns the line that counts the records that were not logged.
     pub fn finish_read(&mut self) -> Option<Line> {
         self.line_count = 0;
         let suppressed = std::mem::take(&mut self.suppressed);
--- a/crates/basilbank_gateway/tests/body.rs
+++ b/crates/basilbank_gateway/tests/body.rs
@@ -1,4 +1,4 @@
-//! Callers' bodies, in virtual time.
+//! Reading of callers' bodies, in virtual time.
 
 use std::{
     convert::Infallible,
@@ -16,7 +16,7 @@
     time::{Sleep, sleep},
 };
 
-/// A body of equal pieces, one each pause.
+/// A body of equal chunks, each after a pause.
 struct PacedBody {
     remaining_chunks: usize,
     chunk_bytes: usize,
@@ -44,16 +44,15 @@
     }
 }
 
-/// Symptom: a caller with a bad connection could never send a long body.
-/// Sequence: four megabytes come at 300 KB a second; after ten seconds the caller is told that it is
-/// slow, and begins again at the first byte.
-/// Cause: the limit was on the whole time, whatever had come.
-#[test_case(140, 30_000, 100, Ok(4_200_000); "a long body that gets on")]
-#[test_case(100, 2_000, 120, Ok(200_000); "a short one, slowly")]
-#[test_case(1, 10, 9_900, Ok(10); "one that comes late")]
-#[test_case(1, 10, 10_100, Err(BodyError::TooSlow); "one that comes too late")]
-#[test_case(100_000, 1, 100, Err(BodyError::TooSlow); "one that drips")]
-#[test_case(10, 1_000_000, 1, Err(BodyError::TooLong); "one that is too long")]
+/// A caller with a slow connection could never send a long body: four megabytes at 300 KB per
+/// second were refused as too slow after ten seconds, and the caller started again at the first
+/// byte. The timeout limited the whole time, however much had arrived.
+#[test_case(140, 30_000, 100, Ok(4_200_000); "long body with steady progress")]
+#[test_case(100, 2_000, 120, Ok(200_000); "short body, slowly")]
+#[test_case(1, 10, 9_900, Ok(10); "late body")]
+#[test_case(1, 10, 10_100, Err(BodyError::TooSlow); "body that is too late")]
+#[test_case(100_000, 1, 100, Err(BodyError::TooSlow); "one byte at a time")]
+#[test_case(10, 1_000_000, 1, Err(BodyError::TooLong); "body that is too long")]
 fn body_timeout_extends_with_progress(
     count: usize,
     bytes: usize,
--- a/crates/basilbank_gateway/tests/reader/recovery.rs
+++ b/crates/basilbank_gateway/tests/reader/recovery.rs
@@ -1,4 +1,4 @@
-//! What is confirmed is in force in time once a daemon reaches the store again.
+//! Once a daemon reaches the store again, confirmed versions are in force in time.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,7 +9,7 @@
     store::{Outage, OutagePeriod, Store},
 };
 
-/// How long after its confirmation, or after the store's return, a version may take: the operators'
+/// Maximum delay of a version after its confirmation, or after the store's return: the operators'
 /// bound.
 const MAX_DELAY: Duration = Duration::from_secs(2);
 
@@ -17,7 +17,7 @@
     Duration::from_millis(ms)
 }
 
-/// A version each 800 ms; endpoints that come and go no more.
+/// A store with a new version every 800 ms, whose list of endpoints does not change.
 fn store(outage: Outage, to: Duration) -> Rc<Store> {
     Rc::new(Store {
         versions: (1..40).map(|n| ms(800) * n).collect(),
@@ -27,7 +27,7 @@
     })
 }
 
-/// The first moment at which a version is not in force that has to be.
+/// Describes the first moment at which a version is not in force although it has to be.
 async fn first_overdue_version(
     rig: &Rig,
     store: &Store,
@@ -45,13 +45,13 @@
     None
 }
 
-/// Symptom: callers of a route that had been confirmed seconds ago were told that there is none.
-/// Sequence: a Vm loses its way to the store while versions follow each other, and finds it again; the
-/// list of endpoints doesn't change.
-/// Cause: nobody looked. Questions that were silent were waited for, with limits that doubled; then the
-/// configuration's reader waited for the list's, which was in a watch that ends when something changes.
-/// Evidence: in the log of such a Vm the next two versions after the store's return are two seconds
-/// apart, the limit of that wait, until the list's watch ends, 7.4 s after the return.
+/// Callers were told that a route doesn't exist although it had been confirmed seconds before. A Vm
+/// lost its connection to the store and regained it while versions followed each other and the list
+/// of endpoints didn't change. Nothing polled the store: unanswered reads were awaited with
+/// timeouts that doubled, and then the configuration's reader waited for the list's, which was in a
+/// watch that ends only at a change. In the log of such a Vm the next two versions after the
+/// store's return are two seconds apart, the timeout of that wait, until the list's watch ends 7.4
+/// s after the return.
 #[test_case(Outage::Cut, true ; "cut off, with a peer")]
 #[test_case(Outage::Cut, false ; "cut off, alone")]
 #[test_case(Outage::Silent, true ; "silent, with a peer")]
@@ -62,7 +62,7 @@
 #[test_case(Outage::Refused, false ; "refused, alone")]
 fn confirmed_version_is_in_force_in_time_after(outage: Outage, peer: bool) {
     let mut overdue = Vec::new();
-    // Where the outage's end falls among the reader's waits decides.
+    // The result depends on which of the reader's waits the end of the outage falls into.
     for step in 0..16 {
         let to = ms(5500) + ms(130) * step;
         in_virtual_time(|| async {
@@ -70,8 +70,8 @@
             let store = store(outage, to);
             rig.start_readers(&store);
             let first = first_overdue_version(&rig, &store, to, peer).await;
-            overdue.extend(first.map(|first| format!("back at {to:?}: {first}")));
+            overdue.extend(first.map(|first| format!("restored at {to:?}: {first}")));
         });
     }
-    assert!(overdue.is_empty(), "{} of 16 ends: {overdue:#?}", overdue.len());
+    assert!(overdue.is_empty(), "{} of 16 outages: {overdue:#?}", overdue.len());
 }
--- a/crates/basilbank_gateway/tests/reader/rig.rs
+++ b/crates/basilbank_gateway/tests/reader/rig.rs
@@ -1,4 +1,4 @@
-//! A daemon's readers in virtual time, before a store that answers by a function.
+//! A daemon's readers in virtual time, with a store whose answers are given by a function.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,20 +22,20 @@
     time::Instant,
 };
 
-/// A query, and when it came after the start.
+/// A query, and the time since the start at which it was made.
 pub type TimedQuery = (Duration, Query);
 
-/// A daemon, and what its readers asked.
+/// A daemon, and the queries of its readers.
 #[derive(Clone)]
 pub struct Rig {
     pub router: Rc<Router>,
     queries: Rc<RefCell<Vec<TimedQuery>>>,
-    /// Datagrams of the peer so far.
+    /// Number of datagrams that the peer has sent.
     gossip_sequence: Rc<Cell<u64>>,
     start: Instant,
 }
 
-/// Runs in virtual time: all waits are over at once, in their order.
+/// Runs a test in virtual time: all waits end at once, in their order.
 pub fn in_virtual_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = Builder::new_current_thread().enable_time().start_paused(true).build();
     let tasks = LocalSet::new();
@@ -51,12 +51,12 @@
         Rig { router, queries: Rc::default(), gossip_sequence: Rc::default(), start }
     }
 
-    /// When the daemon started.
+    /// Returns when the daemon started.
     pub fn start(&self) -> Instant {
         self.start
     }
 
-    /// Starts a topic's reader before a store.
+    /// Starts a topic's reader with a store.
     pub fn start_reader(
         &self,
         topic: Topic,
@@ -70,23 +70,24 @@
         spawn_local(run_reader(Rc::clone(&self.router), topic, source));
     }
 
-    /// What was asked so far.
+    /// Returns the queries so far.
     pub fn queries(&self) -> Vec<TimedQuery> {
         self.queries.borrow().clone()
     }
 
-    /// Questions for changes so far.
+    /// Returns the number of queries for changes so far.
     pub fn watches(&self) -> usize {
         let queries = self.queries.borrow();
         queries.iter().filter(|(_, query)| matches!(query.scope, Scope::Changes { .. })).count()
     }
 
-    /// A peer says up to which revision it has seen changes of a topic, every 10 ms, until then.
+    /// Sends gossip of a peer every 10 ms for a time, with the revision up to which the peer has
+    /// seen changes of a topic.
     pub async fn send_gossip(&self, topic: Topic, revision: u64, time: Duration) {
         self.send_gossip_in_era(topic, revision.into(), time).await;
     }
 
-    /// The same of a revision in an era.
+    /// Sends gossip like [`Rig::send_gossip`], with a revision in an era.
     pub async fn send_gossip_in_era(&self, topic: Topic, revision: Revision, time: Duration) {
         let latest_change = Some(StoreRevision { era: revision.era, number: revision.number });
         let end = Instant::now() + time;
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Instances that are listed.
+    /// Returns the listed instances.
     pub fn listed(&self) -> Vec<String> {
         let mut listed: Vec<_> = self.router.read(|state| {
             state.directory.listed().map(|(_, endpoint)| endpoint.info.instance.clone()).collect()
@@ -117,12 +118,12 @@
     }
 }
 
-/// An answer that is there at once.
+/// An answer that is available at once.
 pub fn immediately(answer: Result<Reading, ReadError>) -> ReadFuture {
     Box::pin(std::future::ready(answer))
 }
 
-/// An answer after a time, all at once.
+/// An answer that arrives complete after a time.
 pub fn delayed(time: Duration, answer: Result<Reading, ReadError>) -> ReadFuture {
     Box::pin(async move {
         tokio::time::sleep(time).await;
@@ -130,12 +131,12 @@
     })
 }
 
-/// No answer.
+/// A read that is never answered.
 pub fn no_answer() -> ReadFuture {
     Box::pin(std::future::pending())
 }
 
-/// An answer that comes in pieces of so many bytes, one each `pause`.
+/// An answer that arrives in chunks of `bytes` bytes, each after `pause`.
 pub fn in_chunks(
     progress: Progress,
     count: usize,
@@ -153,7 +154,7 @@
     })
 }
 
-/// A reading of a list of endpoints.
+/// The result of a read of the list of endpoints.
 pub fn list(revision: u64, instances: &[&str]) -> Reading {
     let listed = instances.iter().zip(1..).map(|(instance, n)| EndpointInfo {
         instance: (*instance).to_owned(),
@@ -172,7 +173,7 @@
     }
 }
 
-/// A reading of a configuration.
+/// The result of a read of the configuration.
 pub fn configuration(revision: u64, version: u64) -> Reading {
     let table = Some(RouteTable::new(version));
     Reading { revisions: Revisions::at(revision), table, ..Reading::default() }
@@ -187,7 +188,7 @@
     }
 }
 
-/// Nothing is called or answered in these tests.
+/// A dialect for tests in which nothing is called or answered.
 fn dialect() -> Dialect {
     Dialect {
         parse_call: |_, _| Err(InvalidCall { trace_id: String::new(), reason: "no call" }),
--- a/crates/basilbank_gateway/tests/reader/store.rs
+++ b/crates/basilbank_gateway/tests/reader/store.rs
@@ -1,4 +1,4 @@
-//! A store whose content follows a timetable, and whose way to the daemon is out of order at times.
+//! A store whose content changes at given times, and whose connection to the daemon has outages.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,20 +8,20 @@
 
 use crate::rig::{Rig, configuration, list};
 
-/// How a store that can't be read behaves.
+/// How a store behaves during an outage.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Outage {
-    /// No connection can be made, and nothing comes over those that stand.
+    /// No connection can be made, and established connections transfer nothing.
     Cut,
-    /// Connections can be made, and nothing comes.
+    /// Connections can be made, and nothing is answered.
     Silent,
-    /// Each question is refused at once, and so are those that wait.
+    /// Each read is refused at once, including those that wait for a change.
     Refused,
-    /// Answers take so long. They are true when they leave.
+    /// Answers are delayed by this time. They are correct when they are sent.
     Slow(Duration),
 }
 
-/// An outage's time.
+/// An outage and its time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct OutagePeriod {
     pub from: Duration,
@@ -29,30 +29,31 @@
     pub outage: Outage,
 }
 
-/// What the store holds, and when.
+/// The store's content over time.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
-    /// When each version of the configuration is confirmed; the first one is there from the start.
+    /// When each version of the configuration is confirmed, besides the first one, which exists
+    /// from the start.
     pub versions: Vec<Duration>,
     /// When the list of endpoints changes.
     pub list_changes: Vec<Duration>,
     pub outages: Vec<OutagePeriod>,
-    /// What a question and its answer take.
+    /// Time from a read to its answer.
     pub round_trip: Duration,
 }
 
 impl Store {
-    /// Versions that are confirmed at a time.
+    /// Returns the newest version that is confirmed at a time.
     pub fn version(&self, at: Duration) -> u64 {
         1 + count(&self.versions, at)
     }
 
-    /// The store's revision. Those of both topics come from one counter.
+    /// Returns the store's revision. Both topics use the same counter.
     fn revision(&self, at: Duration) -> u64 {
         1 + count(&self.versions, at) + count(&self.list_changes, at)
     }
 
-    /// The revision of a topic's last change.
+    /// Returns the revision of a topic's last change.
     pub fn newest(&self, topic: Topic, at: Duration) -> u64 {
         let times = self.times(topic);
         let last = times.iter().filter(|time| **time <= at).max();
@@ -82,7 +83,7 @@
         Reading { revisions, ..reading }
     }
 
-    /// Answers a question.
+    /// Answers a read.
     async fn answer(
         &self,
         topic: Topic,
@@ -118,7 +119,7 @@
         Ok(self.reading(topic, start.elapsed()))
     }
 
-    /// Waits, with the store's state at its side: connections that stand go down with it.
+    /// Waits until a time or the next outage, which affects established connections.
     async fn wait(&self, start: Instant, until: Instant) -> Result<(), ReadError> {
         let now = start.elapsed();
         let next =
@@ -142,7 +143,7 @@
         }
     }
 
-    /// When the topic changes next.
+    /// Returns when the topic changes next.
     fn next(&self, topic: Topic, after: Duration) -> Option<Duration> {
         self.times(topic).iter().filter(|time| after < **time).min().copied()
     }
@@ -157,7 +158,7 @@
 }
 
 impl Rig {
-    /// Starts both readers before a store.
+    /// Starts both readers with a store.
     pub fn start_readers(&self, store: &Rc<Store>) {
         let start = self.start();
         for topic in Topic::ALL {
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Goes on until then. A peer that reads the store without trouble tells what it has, if there is one.
+    /// Runs until a time. With `peer`, a peer that reads the store without trouble reports the
+    /// newest changes.
     pub async fn advance_until(&self, store: &Store, until: Duration, peer: bool) {
         let until = self.start() + until;
         while Instant::now() < until {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     pub fn version(&self) -> u64 {
         self.router.read(|state| state.routes.version)
     }
--- a/crates/basilbank_gateway/tests/reader/timeouts.rs
+++ b/crates/basilbank_gateway/tests/reader/timeouts.rs
@@ -1,4 +1,4 @@
-//! When a read is given up, and what is asked then.
+//! When a read is abandoned, and which read follows.
 
 use std::{cell::Cell, time::Duration};
 
@@ -14,10 +14,10 @@
     Duration::from_millis(ms)
 }
 
-/// Symptom: a route that had been confirmed was denied, for as long as the store kept its history.
-/// Sequence: a peer has read a change; this daemon's answer takes ten seconds over its link.
-/// Cause: the watch was dropped 0.3 s after the peer's word although its answer was coming.
-/// Evidence: the daemon's link was full for 0.3 s of each 1.1 s, and the watch's revision stood still.
+/// A confirmed route was denied for as long as the store kept its history. A peer had read a
+/// change, and this daemon's answer took ten seconds over its link: the watch was dropped 0.3 s
+/// after the peer's report although its answer was arriving. The daemon's link was full for 0.3 s
+/// of each 1.1 s, and the watch's revision stayed the same.
 #[test]
 fn slow_changes_are_kept_despite_peer_gossip() {
     in_virtual_time(|| async {
@@ -35,10 +35,9 @@
     });
 }
 
-/// Symptom: a daemon that had stood still threw an answer away, and asked again.
-/// Sequence: a peer has news; the process stands still beyond the limit; the answer, which is in its
-/// socket, is taken in just after it wakes.
-/// Cause: limits were looked at before what had come.
+/// A daemon discarded an answer and read again after its process had paused. A peer reported a
+/// change, the process paused beyond the timeout, and the answer in its socket was received just
+/// after it resumed: timeouts were checked before received data.
 #[test]
 fn answer_waiting_in_the_socket_at_the_timeout_is_used() {
     in_virtual_time(|| async {
@@ -54,9 +53,7 @@
     });
 }
 
-/// Symptom: a watch would never have ended.
-/// Sequence: its answer drips, a byte at a time.
-/// Cause: each byte counted as getting on.
+/// A watch never ended if its answer arrived one byte at a time: each byte counted as progress.
 #[test]
 fn dripping_answer_is_abandoned() {
     in_virtual_time(|| async {
@@ -72,9 +69,9 @@
     });
 }
 
-/// Symptom: a store that was slow was asked again and again, and none of its answers was waited for.
-/// Sequence: a peer has news; the store needs two seconds for each answer.
-/// Cause: the limit after a peer's word never grew.
+/// A slow store was read again and again, and none of its answers was awaited. A peer had reported
+/// a change, and the store needed two seconds for each answer: the timeout after a peer's report
+/// never grew.
 #[test]
 fn slow_store_is_eventually_read() {
     in_virtual_time(|| async {
@@ -89,9 +86,9 @@
     });
 }
 
-/// Symptom: the list was never read whole, and the pages before the one that failed were paid for anew.
-/// Sequence: a page in the middle fails; everything is asked for again from the first.
-/// Cause: pages were one read, all or nothing; the longer the list, the less likely it was to end.
+/// The list was never read completely, and pages before a failed one were paid for again. A page in
+/// the middle failed, and everything was read again from the first: all pages were one read, which
+/// was less likely to succeed the longer the list was.
 #[test]
 fn failed_page_is_retried_without_the_pages_before_it() {
     in_virtual_time(|| async {
@@ -108,7 +105,7 @@
                 }),
             }),
             Scope::Changes { after, .. } => {
-                assert_eq!(*after, 10, "what changed since the first page is read after it");
+                assert_eq!(*after, 10, "changes since the first page are read after it");
                 no_answer()
             }
         });
@@ -118,10 +115,9 @@
     });
 }
 
-/// Symptom: a daemon would have called the store without a pause.
-/// Sequence: it changes more at each moment than all that it holds, so that changes are too long; or it
-/// drops its history all the time.
-/// Cause: both lead to a reading of everything at once.
+/// A daemon called the store without a pause. This happens if the store changes more at each moment
+/// than all its records together, so that changes are too long, or if it drops its history all the
+/// time: both lead to a full read at once.
 #[test]
 fn unavailable_changes_are_retried_with_a_pause() {
     for error in [ReadError::TooLong, ReadError::HistoryGone] {
@@ -138,7 +134,7 @@
     }
 }
 
-/// What a watch may bring follows what everything took.
+/// The maximum size of a watch's answer depends on the size of the last full read.
 #[test]
 fn changes_limit_is_twice_the_full_read() {
     in_virtual_time(|| async {
--- a/crates/basilbank_gateway/tests/reader/topics.rs
+++ b/crates/basilbank_gateway/tests/reader/topics.rs
@@ -1,4 +1,4 @@
-//! How the readers of the two topics go together.
+//! Interaction of the readers of the two topics.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -16,16 +16,15 @@
     ReadError::Failed("status 503".to_owned())
 }
 
-/// Symptom: an endpoint whose entry had gone got work for seconds.
-/// Sequence: the list has not changed for two seconds; a watch goes silent; a peer has seen that the
-/// entry went; the daemon asks anew, and reads it, too.
-/// Cause: a watch that was dropped counted as an outage of the store, after which entries that went are
-/// kept for a while.
+/// An endpoint received work for seconds after its record was removed. The list had not changed for
+/// two seconds, a watch got no answer, a peer had seen that the record was removed, and the daemon
+/// read the change as well. A watch that was dropped counted as an outage of the store, after which
+/// removed records are kept for a while.
 #[test]
 fn record_removed_during_a_silent_watch_is_dropped_at_once() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        // The watch doesn't end by itself meanwhile.
+        // The watch doesn't end by itself in the meantime.
         rig.router.update_tuning(|tuning| {
             (tuning.solo_watch_wait, tuning.max_watch_wait) = (ms(20_000), ms(20_000));
         });
@@ -49,9 +48,9 @@
     });
 }
 
-/// Symptom: a daemon started later than it had to.
-/// Sequence: the store needs two seconds for the configuration; the list's reads fail now and then.
-/// Cause: the configuration's read was given up with it, and began again with short limits.
+/// A daemon started later than necessary. The store needed two seconds for the configuration, and
+/// reads of the list failed now and then: the configuration's read was abandoned with each of them,
+/// and started again with short timeouts.
 #[test]
 fn first_configuration_read_does_not_depend_on_the_list() {
     in_virtual_time(|| async {
@@ -71,14 +70,14 @@
     });
 }
 
-/// Symptom: a configuration was in force 25 s late.
-/// Sequence: all connections to the store go silent; the list's watch ends first, and is asked anew.
-/// Cause: the configuration's watch waits three times as long, on a connection that is as dead.
+/// A configuration was in force 25 s late. All connections to the store stopped answering; the
+/// list's watch ended first, and the list was read again. The configuration's watch, on a
+/// connection that was dead as well, waits three times as long.
 #[test]
 fn lost_list_watch_triggers_a_configuration_read() {
     in_virtual_time(|| async {
         let rig = Rig::new();
-        // The list's watch ends within 2.8 s, the configuration's not before 3.1.
+        // The list's watch ends within 2.8 s, the configuration's not before 3.1 s.
         rig.router.update_tuning(|tuning| {
             (tuning.solo_watch_wait, tuning.max_watch_wait) = (ms(2000), ms(2000));
         });
@@ -95,15 +94,14 @@
             Scope::Changes { after: 10, .. } => immediately(Ok(configuration(20, 2))),
             Scope::Changes { .. } => no_answer(),
         });
-        // It hears a peer, so that watches are long; the peer's connections are dead, too.
+        // Gossip of a peer makes watches long; the peer's connections to the store are dead, too.
         rig.send_gossip(Topic::Routes, 10, ms(3090)).await;
         assert_eq!(rig.router.read(|state| state.routes.version), 2, "{:?}", rig.queries());
     });
 }
 
-/// Symptom: an outage of the store cost twice the calls.
-/// Sequence: the store refuses everything for ten seconds.
-/// Cause: both readers asked whether it is back.
+/// An outage of the store cost twice the calls: while the store refused everything for ten seconds,
+/// both readers polled it.
 #[test]
 fn only_one_reader_polls_during_an_outage() {
     in_virtual_time(|| async {
@@ -123,12 +121,13 @@
         });
         sleep(ms(10_000)).await;
         let (all, calls) = (rig.watches(), calls.get());
-        assert!(12 <= all - calls, "the list's reader goes on: {all} and {calls}");
+        assert!(12 <= all - calls, "the list's reader keeps polling: {all} and {calls}");
         assert!(calls <= 6, "{calls} calls for the configuration in ten seconds");
     });
 }
 
-/// News of one topic is none of the other: a watch for it would wait in vain, and be dropped.
+/// A change of one topic does not concern the other: a new watch would wait in vain, and be
+/// dropped.
 #[test]
 fn configuration_change_does_not_affect_the_list_watch() {
     in_virtual_time(|| async {
--- a/crates/basilbank_gateway/tests/reader/unusable.rs
+++ b/crates/basilbank_gateway/tests/reader/unusable.rs
@@ -1,4 +1,4 @@
-//! Entries of the store that can't be used: what is counted, and what is told.
+//! Unusable records of the store: which are counted, and which are logged.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -12,7 +12,7 @@
     UnusableRecord::new(key, revision, "no_json", "")
 }
 
-/// A page with one good endpoint and the findings, whose next page begins at `next`.
+/// A page with one valid endpoint and unusable records; the next page begins at `next`.
 fn page(records: &[UnusableRecord], next: Option<&str>) -> Reading {
     let next = next.map(str::to_owned);
     Reading { unusable: records.to_vec(), next_page: next, ..list(10, &["a"]) }
@@ -24,10 +24,9 @@
     text.lines().find_map(|line| line.strip_prefix(name).map(str::to_owned))
 }
 
-/// Symptom: the counter of unusable entries rose for hours, though there was one.
-/// Sequence: an entry is unusable, and the history is forgotten again and again, so that it is read
-/// with all others each time.
-/// Cause: each reading counted what it held.
+/// The counter of unusable records rose for hours although there was one such record. The store
+/// dropped its history again and again, so that the record was read with all others each time, and
+/// each read counted it.
 #[test]
 fn unusable_record_version_is_counted_once() {
     in_virtual_time(|| async {
@@ -48,16 +47,17 @@
     });
 }
 
-/// Symptom: the store was asked hundreds of times a second.
-/// Sequence: another writer keeps writing an entry that can't be read, its revision neither.
-/// Cause: a change without a revision did not count as one, and was not followed by a pause.
+/// The store was read hundreds of times a second. Another writer kept writing a record that can't
+/// be read, nor can its revision: a change without a revision did not count as a change, and was
+/// not followed by a pause.
 #[test]
 fn unusable_changes_are_followed_by_a_pause() {
     in_virtual_time(|| async {
         let rig = Rig::new();
         rig.start_reader(Topic::Endpoints, |query, _| match query.scope {
             Scope::Page { .. } => immediately(Ok(list(10, &["a"]))),
-            // No time passes while a reader asks without a pause.
+            // No virtual time passes while a reader reads without a pause, so the read stays
+            // unanswered here.
             Scope::Changes { after: 1000.., .. } => no_answer(),
             Scope::Changes { after, .. } => {
                 let mut reading = Reading { unusable: vec![record("", 0)], ..Reading::default() };
@@ -70,9 +70,8 @@
     });
 }
 
-/// Symptom: the log's other lines were dropped.
-/// Sequence: a list is full of entries that can't be used.
-/// Cause: there was a line for each.
+/// Other lines of the log were dropped because a list full of unusable records led to one line for
+/// each.
 #[test]
 fn log_lines_of_one_read_are_limited() {
     let mut record_log = UnusableRecordLog::default();
@@ -93,9 +92,8 @@
     assert_eq!((lines, suppressed), (20, Some(rest)));
 }
 
-/// Symptom: a daemon's memory grew with each entry that another writer invented.
-/// Sequence: more keys than are remembered.
-/// Cause: what was told was kept for ever, or with all of its text.
+/// A daemon's memory grew with each record that another writer invented: logged keys were kept for
+/// ever, or with their full text.
 #[test]
 fn remembered_keys_are_bounded() {
     let mut record_log = UnusableRecordLog::default();
