--- a/crates/basilbank_forward/src/reading/reader.rs
+++ b/crates/basilbank_forward/src/reading/reader.rs
@@ -143,12 +143,13 @@
             ReadEvent::Ended { read, era, outcome } => {
                 if let Some(index) = self.pending.iter().position(|pending| pending.id == read) {
                     let pending = self.pending.remove(index);
-                    let earlier = self.pending[..index].iter().any(|pending| !pending.has_begun);
-                    let due = matches!(
+                    let has_unanswered =
+                        self.pending[..index].iter().any(|pending| !pending.has_begun);
+                    let has_change = matches!(
                         outcome,
                         ReadOutcome::Answer { changed: true, .. } | ReadOutcome::HistoryGone
                     );
-                    connection_died = earlier && due;
+                    connection_died = has_unanswered && has_change;
                     self.handle_outcome(now, &pending, era, outcome, effects);
                 }
             }
@@ -168,8 +169,8 @@
     }
 
     pub fn wake_at(&self) -> Duration {
-        let ends = self.pending.iter().map(|pending| pending.close_at);
-        ends.fold(self.next_start(), Duration::min)
+        let close_times = self.pending.iter().map(|pending| pending.close_at);
+        close_times.fold(self.next_start(), Duration::min)
     }
 
     /// Reacts to the other reader's connection, which has stopped answering or has died.
@@ -186,12 +187,14 @@
             return self.earliest_start;
         }
         // Open reads get their time to answer first.
-        let silent = self.pending.iter().map(|pending| pending.hedge_at).max();
-        let at = silent.map_or(self.earliest_start, |silent| silent.max(self.earliest_start));
-        let paced = self.is_other_lost && self.topic == Topic::Routes && !self.revision.is_none();
-        match paced && self.failures != 0 && !self.is_early {
-            true => at.max(self.last_started + MIN_ROUTES_RETRY_INTERVAL),
-            false => at,
+        let hedge_at = self.pending.iter().map(|pending| pending.hedge_at).max();
+        let start =
+            hedge_at.map_or(self.earliest_start, |hedge_at| hedge_at.max(self.earliest_start));
+        let is_throttled =
+            self.is_other_lost && self.topic == Topic::Routes && !self.revision.is_none();
+        match is_throttled && self.failures != 0 && !self.is_early {
+            true => start.max(self.last_started + MIN_ROUTES_RETRY_INTERVAL),
+            false => start,
         }
     }
 
@@ -211,9 +214,9 @@
         let known = self.revision.max(self.prompted_change);
         // An answer is arriving, or the previous report triggered a read that has no answer yet: if
         // versions follow each other quickly, each report would move the next read forward.
-        let waits =
+        let is_waiting =
             self.pending.iter().any(|pending| pending.is_prompted || pending.is_arriving(now));
-        if self.revision.is_none() || latest_change <= known || self.ignores_peers || waits {
+        if self.revision.is_none() || latest_change <= known || self.ignores_peers || is_waiting {
             return;
         }
         // In the pause after a read nothing is open, and the next read is due soon.
@@ -288,15 +291,15 @@
         };
         let margin =
             if wait.is_zero() { hedge_interval(context.peers_in_contact) } else { HEDGE_DELAY };
-        let silent = wait + margin;
+        let hedge_delay = wait + margin;
         let id = ReadId(self.read_count);
         self.read_count += 1;
         self.last_started = now;
         self.pending.push(PendingRead {
             id,
             started_at: now,
-            hedge_at: now + silent,
-            close_at: now + silent + READ_TIMEOUT,
+            hedge_at: now + hedge_delay,
+            close_at: now + hedge_delay + READ_TIMEOUT,
             has_begun: false,
             bytes: 0,
             is_page: matches!(scope, Scope::Page { .. }),
@@ -346,11 +349,11 @@
             Ordering::Less => return self.handle_older_era(now, pending, era, effects),
             Ordering::Equal => self.era = self.era.or(era),
             Ordering::Greater => {
-                let begins = pending.is_page && self.page_token.is_empty();
+                let is_first_page = pending.is_page && self.page_token.is_empty();
                 self.enter_era(now, era, effects);
                 match outcome {
                     // The answer is the first page of all records as they are now.
-                    ReadOutcome::Answer { .. } if begins => {}
+                    ReadOutcome::Answer { .. } if is_first_page => {}
                     ReadOutcome::Failed(error) => {
                         return self.record_failure(now, pending, &error, effects);
                     }
@@ -498,9 +501,9 @@
     }
 
     fn close_all(&mut self, effects: &mut Vec<ReadEffect>) {
-        let others = self.pending.drain(..);
+        let closed = self.pending.drain(..);
         effects
-            .extend(others.map(|pending| ReadEffect::Close { read: pending.id, timed_out: false }));
+            .extend(closed.map(|pending| ReadEffect::Close { read: pending.id, timed_out: false }));
     }
 
     fn log_line(&self, name: &'static str) -> LogLine {
--- a/crates/basilbank_forward/src/reading/reader/follow.rs
+++ b/crates/basilbank_forward/src/reading/reader/follow.rs
@@ -26,9 +26,9 @@
     /// If each daemon of a large fleet watched, each change would end as many watches, all for the
     /// same change, and these would be most of the store's load.
     pub(super) fn follow_watchers(&mut self, now: Duration, context: ReaderContext) -> bool {
-        let is_healthy = !self.revision.is_none() && self.pending.is_empty() && self.failures == 0;
+        let can_follow = !self.revision.is_none() && self.pending.is_empty() && self.failures == 0;
         self.was_following = std::mem::take(&mut self.is_following);
-        if self.was_following || !(context.is_follower && is_healthy) {
+        if self.was_following || !(context.is_follower && can_follow) {
             return false;
         }
         if self.revision < context.latest_change {
--- a/crates/basilbank_forward/src/reading/readers.rs
+++ b/crates/basilbank_forward/src/reading/readers.rs
@@ -30,7 +30,7 @@
         effects: &mut Vec<ReadEffect>,
     ) -> bool {
         let reader = self.0.get_mut(topic);
-        let before = reader.is_lost();
+        let was_lost = reader.is_lost();
         let connection_died = reader.step(now, context, event, effects);
         let (lost, era) = (reader.is_lost(), reader.era());
         let other = self.0.get_mut(topic.other());
@@ -41,7 +41,7 @@
         }
         // The list changes more often. If its connection has stopped answering, the
         // configuration's, whose watch takes longer, probably has, too.
-        if connection_died || lost && !before && topic == Topic::Endpoints {
+        if connection_died || lost && !was_lost && topic == Topic::Endpoints {
             other.suspect_connection(now);
         }
         other.wake_at() < previous_wake
--- a/crates/basilbank_gateway/src/attempt.rs
+++ b/crates/basilbank_gateway/src/attempt.rs
@@ -174,8 +174,8 @@
 fn report_call_limit(router: &Rc<Router>, attempt: &Attempt, head: &Response<()>) {
     let endpoint = attempt.target.endpoint;
     let rate = (router.dialect.call_limit)(head);
-    let runs = head.status().is_success() && !matches!(attempt.op, Op::Hold { .. });
-    if rate.is_some() || runs && router.read(|state| state.call_limits.get(endpoint).is_some()) {
+    let has_run = head.status().is_success() && !matches!(attempt.op, Op::Hold { .. });
+    if rate.is_some() || has_run && router.read(|state| state.call_limits.get(endpoint).is_some()) {
         router.dispatch(Event::CallLimit { endpoint, rate });
     }
 }
--- a/crates/basilbank_gateway/src/caller_listener.rs
+++ b/crates/basilbank_gateway/src/caller_listener.rs
@@ -88,9 +88,9 @@
         head_time: limits.idle_timeout,
         head_bytes: limits.head_bytes,
     };
-    let (router_for_requests, draining) = (Rc::clone(&router), closing.clone());
+    let (request_router, draining) = (Rc::clone(&router), closing.clone());
     let handle = move |request| {
-        let (router, draining) = (Rc::clone(&router_for_requests), draining.clone());
+        let (router, draining) = (Rc::clone(&request_router), draining.clone());
         Box::pin(async move {
             let mut response = request::serve(router, request).await;
             // hyper doesn't add the header to a connection whose first request arrives only now.
