--- a/crates/basilbank/src/peers.rs
+++ b/crates/basilbank/src/peers.rs
@@ -23,7 +23,7 @@
 };
 
 use basilbank_core::{ids::VmId, state::Local};
-use basilbank_wire::{Message, Packet, Sealer, VmList};
+use basilbank_wire::{Authenticator, Message, Packet, VmList};
 
 use self::{address_book::AddressBook, heard::Heard, receiver::Receiver};
 use crate::{
@@ -53,7 +53,7 @@
 pub struct Peers {
     address: SocketAddr,
     socket: UdpSocket,
-    sealer: Sealer,
+    sealer: Authenticator,
     senders: Pool,
     metrics: Arc<Metrics>,
     stop: Arc<AtomicBool>,
@@ -82,7 +82,7 @@
         let (socket, listener) = bind::bind(address)?;
         socket.set_write_timeout(Some(DATAGRAM_WAIT))?;
         let address = socket.local_addr()?;
-        let sealer = Sealer::new(key);
+        let sealer = Authenticator::new(key);
         let stop = Arc::new(AtomicBool::new(false));
         let heard = Arc::new(Heard::default());
         let receiver =
@@ -152,7 +152,7 @@
     }
 
     fn send_datagram(&self, address: SocketAddr, packet: &Packet) {
-        let bytes = self.sealer.seal(packet);
+        let bytes = self.sealer.encode_with_mac(packet);
         match self.socket.send_to(&bytes, address) {
             Ok(sent) => self.metrics.peer_sent(sent),
             Err(_) => self.metrics.unsent(Unsent::Failed, packet.messages.len()),
@@ -162,7 +162,7 @@
     fn send_stream(&self, address: SocketAddr, packet: Packet) {
         let (sealer, metrics) = (self.sealer.clone(), Arc::clone(&self.metrics));
         let count = packet.messages.len();
-        let job = move || match stream::send(address, sealer.seal(&packet)) {
+        let job = move || match stream::send(address, sealer.encode_with_mac(&packet)) {
             Ok(sent) => metrics.peer_sent(sent),
             Err(_) => metrics.unsent(Unsent::Failed, packet.messages.len()),
         };
--- a/crates/basilbank/src/peers/batch.rs
+++ b/crates/basilbank/src/peers/batch.rs
@@ -1,6 +1,6 @@
 //! Which messages share a packet.
 
-use basilbank_wire::{Body, Message, SEAL_LEN};
+use basilbank_wire::{Body, MAC_LEN, Message};
 use prost::{Message as _, length_delimiter_len};
 
 /// Most bytes of a packet beside its messages: two fixed fields of 9 and two variable ones of up to
@@ -21,7 +21,7 @@
 /// asked for seldom, and a lost one would delay a change by a whole heartbeat.
 #[must_use]
 pub fn split(messages: Vec<Message>, datagram: usize) -> Parcels {
-    let room = datagram - SEAL_LEN - HEADER;
+    let room = datagram - MAC_LEN - HEADER;
     let mut parcels = Parcels::default();
     let mut left = 0;
     for message in messages {
--- a/crates/basilbank/src/peers/receiver.rs
+++ b/crates/basilbank/src/peers/receiver.rs
@@ -12,7 +12,7 @@
 };
 
 use basilbank_core::{event::Event, ids::VmId};
-use basilbank_wire::{DropReason, Packet, ReplayGuard, Sealer};
+use basilbank_wire::{Authenticator, DropReason, Packet, ReplayGuard};
 
 use crate::{
     inbox::Feed,
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 struct Shared {
     own: VmId,
-    sealer: Sealer,
+    sealer: Authenticator,
     guard: Mutex<ReplayGuard>,
     feed: Feed,
     metrics: Arc<Metrics>,
@@ -54,7 +54,7 @@
     #[must_use]
     pub fn new(
         own: VmId,
-        sealer: Sealer,
+        sealer: Authenticator,
         feed: Feed,
         metrics: Arc<Metrics>,
         stop: Arc<AtomicBool>,
@@ -160,7 +160,7 @@
     /// The packet in sealed bytes, if it is to be taken. The replay guard comes last: what is not
     /// for this VM must not use its numbers up.
     fn open(&self, bytes: &[u8]) -> Result<Packet, DropReason> {
-        let packet = self.sealer.open(bytes)?;
+        let packet = self.sealer.verify_and_decode(bytes)?;
         self.metrics.peer_received(bytes.len());
         if packet.to != self.own.0 {
             return Err(DropReason::Misaddressed);
--- a/crates/basilbank/src/peers/stream.rs
+++ b/crates/basilbank/src/peers/stream.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use basilbank_wire::Frames;
+use basilbank_wire::FramedStream;
 
 use crate::{pace::time_for, peers::FRAME};
 
@@ -27,21 +27,21 @@
     let stream = TcpStream::connect_timeout(&address, CONNECT)?;
     stream.set_write_timeout(Some(WRITE))?;
     let size = sealed.len();
-    Frames::new(stream, FRAME).write(sealed.into())?;
+    FramedStream::new(stream, FRAME).write(sealed.into())?;
     Ok(size)
 }
 
 /// The frames of a connection, for a bounded time: a stranger who sends a byte now and then would
 /// otherwise hold a thread for ever, and no catalogue could come in.
 #[must_use]
-pub fn receive(stream: TcpStream) -> Frames<impl Read> {
+pub fn receive(stream: TcpStream) -> FramedStream<impl Read> {
     receive_within(stream, RECEIVE)
 }
 
 /// The same with another time.
 #[must_use]
-pub fn receive_within(stream: TcpStream, first: Duration) -> Frames<impl Read> {
-    Frames::new(Limited { stream, first, begun: Instant::now(), bytes: 0 }, FRAME)
+pub fn receive_within(stream: TcpStream, first: Duration) -> FramedStream<impl Read> {
+    FramedStream::new(Limited { stream, first, begun: Instant::now(), bytes: 0 }, FRAME)
 }
 
 struct Limited {
--- a/crates/basilbank/tests/shell/peers.rs
+++ b/crates/basilbank/tests/shell/peers.rs
@@ -15,7 +15,8 @@
 };
 use basilbank_core::{event::Event, ids::VmId, state::Local};
 use basilbank_wire::{
-    Body, Document, FetchCatalogue, Frames, Heartbeat, Message, Packet, Sealer, VmList, VmRecord,
+    Authenticator, Body, Document, FetchCatalogue, FramedStream, Heartbeat, Message, Packet,
+    VmList, VmRecord,
 };
 use test_case::test_case;
 
@@ -182,23 +183,23 @@
 #[test_case("old_incarnation", true; "old incarnation by tcp")]
 fn a_bad_packet_is_dropped_and_counted(reason: &str, by_tcp: bool) {
     let side = Side::new("a");
-    let (sealer, good) = (Sealer::new(KEY), side.packet(5, 8));
-    side.datagram(&sealer.seal(&good));
+    let (sealer, good) = (Authenticator::new(KEY), side.packet(5, 8));
+    side.datagram(&sealer.encode_with_mac(&good));
     assert_eq!(side.next(), (VmId(STRANGER), 5, heartbeat(8)));
     let bad = match reason {
-        "forged" => Sealer::new(b"another key").seal(&side.packet(5, 9)),
-        "misaddressed" => sealer.seal(&Packet { to: 1, ..side.packet(5, 9) }),
-        "replayed" => sealer.seal(&good),
-        _ => sealer.seal(&side.packet(4, 9)),
+        "forged" => Authenticator::new(b"another key").encode_with_mac(&side.packet(5, 9)),
+        "misaddressed" => sealer.encode_with_mac(&Packet { to: 1, ..side.packet(5, 9) }),
+        "replayed" => sealer.encode_with_mac(&good),
+        _ => sealer.encode_with_mac(&side.packet(4, 9)),
     };
     if by_tcp {
         let stream = TcpStream::connect(side.peers.address()).unwrap();
-        Frames::new(stream, FRAME).write(bad.into()).unwrap();
+        FramedStream::new(stream, FRAME).write(bad.into()).unwrap();
     } else {
         side.datagram(&bad);
     }
     side.wait_for_drop(reason);
-    side.datagram(&sealer.seal(&side.packet(5, 10)));
+    side.datagram(&sealer.encode_with_mac(&side.packet(5, 10)));
     assert_eq!(side.next(), (VmId(STRANGER), 5, heartbeat(10)), "and the next one is taken");
 }
 
@@ -224,20 +225,20 @@
 #[test]
 fn messages_beyond_the_inboxs_bound_are_dropped_and_counted() {
     let side = Side::new("a");
-    let sealer = Sealer::new(KEY);
+    let sealer = Authenticator::new(KEY);
     let messages = vec![heartbeat(1); 128];
     let (packets, bound) = (128, 16 << 10);
     for sequence in 0..packets {
         let packet = Packet { messages: messages.clone(), ..side.packet(5, sequence) };
-        side.datagram(&sealer.seal(&packet));
+        side.datagram(&sealer.encode_with_mac(&packet));
         let came = format!("basilbank_peer_packets_total{{direction=\"in\"}} {}", sequence + 1);
         side.wait_for(&came);
     }
     assert_eq!(packets as usize * messages.len(), bound);
-    side.datagram(&sealer.seal(&side.packet(5, packets)));
+    side.datagram(&sealer.encode_with_mac(&side.packet(5, packets)));
     side.wait_for_drop("overload");
     side.next();
-    side.datagram(&sealer.seal(&side.packet(5, packets + 1)));
+    side.datagram(&sealer.encode_with_mac(&side.packet(5, packets + 1)));
     for _ in 1..bound {
         side.next();
     }
@@ -257,7 +258,7 @@
     let sending = thread::spawn(move || {
         let mut framed = Vec::new();
         let frame = vec![7; pieces * bytes];
-        Frames::new(&mut framed, FRAME).write(frame.into()).unwrap();
+        FramedStream::new(&mut framed, FRAME).write(frame.into()).unwrap();
         for piece in framed.chunks(bytes) {
             thread::sleep(Duration::from_millis(25));
             if sender.write_all(piece).is_err() {
--- a/crates/basilbank_wire/src/codec.rs
+++ b/crates/basilbank_wire/src/codec.rs
@@ -6,36 +6,36 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 /// Bytes that are read from the stream at a time.
-const CHUNK: usize = 16 << 10;
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
 /// Reads and writes frames on a blocking stream. The codec is `tokio-util`'s; no runtime is needed.
 ///
 /// ```
-/// use basilbank_wire::Frames;
+/// use basilbank_wire::FramedStream;
 ///
 /// let mut stream = std::io::Cursor::new(Vec::new());
-/// Frames::new(&mut stream, 1024).write(b"hello".to_vec().into())?;
+/// FramedStream::new(&mut stream, 1024).write(b"hello".to_vec().into())?;
 /// stream.set_position(0);
-/// let frame = Frames::new(&mut stream, 1024).read()?;
+/// let frame = FramedStream::new(&mut stream, 1024).read()?;
 /// assert_eq!(frame.as_deref(), Some(&b"hello"[..]));
 /// # Ok::<(), std::io::Error>(())
 /// ```
 #[derive(Debug)]
-pub struct Frames<S> {
+pub struct FramedStream<S> {
     stream: S,
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
 }
 
-impl<S> Frames<S> {
-    /// Frames of at most `longest` bytes.
-    pub fn new(stream: S, longest: usize) -> Frames<S> {
-        let codec = LengthDelimitedCodec::builder().max_frame_length(longest).new_codec();
-        Frames { stream, codec, buffer: BytesMut::new() }
+impl<S> FramedStream<S> {
+    /// Frames of at most `max_frame_len` bytes.
+    pub fn new(stream: S, max_frame_len: usize) -> FramedStream<S> {
+        let codec = LengthDelimitedCodec::builder().max_frame_length(max_frame_len).new_codec();
+        FramedStream { stream, codec, buffer: BytesMut::new() }
     }
 }
 
-impl<S: Read> Frames<S> {
+impl<S: Read> FramedStream<S> {
     /// The next frame; `None` when the stream ended between two frames.
     ///
     /// # Errors
@@ -46,23 +46,27 @@
             if let Some(frame) = self.codec.decode(&mut self.buffer)? {
                 return Ok(Some(frame));
             }
-            if self.fill()? == 0 {
-                let whole = self.buffer.is_empty();
-                return if whole { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+            if self.fill_buffer()? == 0 {
+                let at_boundary = self.buffer.is_empty();
+                return if at_boundary {
+                    Ok(None)
+                } else {
+                    Err(io::ErrorKind::UnexpectedEof.into())
+                };
             }
         }
     }
 
-    fn fill(&mut self) -> io::Result<usize> {
+    fn fill_buffer(&mut self) -> io::Result<usize> {
         let len = self.buffer.len();
-        self.buffer.resize(len + CHUNK, 0);
+        self.buffer.resize(len + READ_CHUNK_BYTES, 0);
         let read = self.stream.read(&mut self.buffer[len..]);
         self.buffer.truncate(len + *read.as_ref().unwrap_or(&0));
         read
     }
 }
 
-impl<S: Write> Frames<S> {
+impl<S: Write> FramedStream<S> {
     /// Writes a frame.
     ///
     /// # Errors
--- a/crates/basilbank_wire/src/lib.rs
+++ b/crates/basilbank_wire/src/lib.rs
@@ -7,15 +7,16 @@
 //! assert!(message.body.is_some());
 //! ```
 
+mod authenticator;
 mod codec;
 mod direct;
 mod drop_reason;
 mod load;
 mod message;
 mod replay;
-mod seal;
 
-pub use codec::Frames;
+pub use authenticator::{Authenticator, MAC_LEN};
+pub use codec::FramedStream;
 pub use direct::{ConfigurationAge, QuotaAnswer, QuotaCounted, QuotaRequest, QuotaState, QuotaUse};
 pub use drop_reason::DropReason;
 pub use load::{
@@ -23,5 +24,4 @@
     PermitKind, QuarantinedCall, ServiceGenerationStats, StoreRevision, WaitingCompletion,
 };
 pub use message::*;
-pub use replay::{ReplayGuard, SENDERS, WINDOW};
-pub use seal::{SEAL_LEN, Sealer};
+pub use replay::{MAX_SENDERS, REPLAY_WINDOW, ReplayGuard};
--- a/crates/basilbank_wire/src/replay.rs
+++ b/crates/basilbank_wire/src/replay.rs
@@ -6,13 +6,13 @@
 
 /// Sequence numbers below the highest one that may still come. A large packet travels over TCP while
 /// thousands of small ones overtake it.
-pub const WINDOW: u64 = 4096;
+pub const REPLAY_WINDOW: u64 = 4096;
 
 /// Senders remembered at once; the one unheard for longest is forgotten for a new one.
-pub const SENDERS: usize = 4096;
+pub const MAX_SENDERS: usize = 4096;
 
-const WORD: u64 = u64::BITS as u64;
-const WORDS: usize = (WINDOW / WORD) as usize;
+const WORD_BITS: u64 = u64::BITS as u64;
+const WINDOW_WORDS: usize = (REPLAY_WINDOW / WORD_BITS) as usize;
 
 /// What has been received from whom.
 ///
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct ReplayGuard {
     senders: HashMap<u64, Sender>,
-    counter: u64,
+    packet_count: u64,
 }
 
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     incarnation: u64,
     window: Window,
     /// The guard's counter when the sender was last heard.
-    heard: u64,
+    last_seen: u64,
 }
 
 impl ReplayGuard {
@@ -38,22 +38,27 @@
     ///
     /// # Errors
     /// `OldIncarnation` or `Replayed`; the packet must be dropped.
-    pub fn check(&mut self, from: u64, incarnation: u64, sequence: u64) -> Result<(), DropReason> {
-        self.counter += 1;
-        if !self.senders.contains_key(&from) && SENDERS <= self.senders.len() {
-            self.forget_oldest();
+    pub fn check(
+        &mut self,
+        sender_id: u64,
+        incarnation: u64,
+        sequence: u64,
+    ) -> Result<(), DropReason> {
+        self.packet_count += 1;
+        if !self.senders.contains_key(&sender_id) && MAX_SENDERS <= self.senders.len() {
+            self.evict_least_recent();
         }
-        let heard = self.counter;
-        let new = || Sender { incarnation, window: Window::default(), heard };
-        let sender = self.senders.entry(from).or_insert_with(new);
+        let last_seen = self.packet_count;
+        let new_sender = || Sender { incarnation, window: Window::default(), last_seen };
+        let sender = self.senders.entry(sender_id).or_insert_with(new_sender);
         if incarnation < sender.incarnation {
             return Err(DropReason::OldIncarnation);
         }
         if sender.incarnation < incarnation {
-            *sender = new();
+            *sender = new_sender();
         }
-        sender.heard = heard;
-        if sender.window.take(sequence) { Ok(()) } else { Err(DropReason::Replayed) }
+        sender.last_seen = last_seen;
+        if sender.window.record(sequence) { Ok(()) } else { Err(DropReason::Replayed) }
     }
 
     /// Number of senders remembered.
@@ -68,50 +73,52 @@
         self.senders.is_empty()
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.senders.iter().min_by_key(|(_, s)| s.heard).map(|(from, _)| *from);
-        if let Some(from) = oldest {
-            self.senders.remove(&from);
+    fn evict_least_recent(&mut self) {
+        let least_recent =
+            self.senders.iter().min_by_key(|(_, s)| s.last_seen).map(|(sender_id, _)| *sender_id);
+        if let Some(sender_id) = least_recent {
+            self.senders.remove(&sender_id);
         }
     }
 }
 
-/// One bit for each of the last `WINDOW` sequence numbers; number `n` has bit `n % WINDOW`.
+/// One bit for each of the last `REPLAY_WINDOW` sequence numbers; number `n` has bit
+/// `n % REPLAY_WINDOW`.
 #[derive(Debug)]
 struct Window {
     /// The number after the highest one seen.
     next: u64,
-    bits: Box<[u64; WORDS]>,
+    bits: Box<[u64; WINDOW_WORDS]>,
 }
 
 impl Default for Window {
     fn default() -> Window {
-        Window { next: 0, bits: Box::new([0; WORDS]) }
+        Window { next: 0, bits: Box::new([0; WINDOW_WORDS]) }
     }
 }
 
 impl Window {
     /// Takes a number; `false` when it was taken before or is too old to tell.
-    fn take(&mut self, sequence: u64) -> bool {
-        if sequence.saturating_add(WINDOW) < self.next || sequence == u64::MAX {
+    fn record(&mut self, sequence: u64) -> bool {
+        if sequence.saturating_add(REPLAY_WINDOW) < self.next || sequence == u64::MAX {
             return false;
         }
         if self.next <= sequence {
             self.advance(sequence);
         }
-        let (word, bit) = place(sequence);
-        let fresh = self.bits[word] & bit == 0;
+        let (word, bit) = bit_position(sequence);
+        let is_new = self.bits[word] & bit == 0;
         self.bits[word] |= bit;
-        fresh
+        is_new
     }
 
     /// Makes a number the highest, and clears the bits of those between.
     fn advance(&mut self, sequence: u64) {
-        if WINDOW <= sequence - self.next {
+        if REPLAY_WINDOW <= sequence - self.next {
             self.bits.fill(0);
         } else {
-            for skipped in self.next..=sequence {
-                let (word, bit) = place(skipped);
+            for cleared in self.next..=sequence {
+                let (word, bit) = bit_position(cleared);
                 self.bits[word] &= !bit;
             }
         }
@@ -119,7 +126,7 @@
     }
 }
 
-fn place(sequence: u64) -> (usize, u64) {
-    let slot = sequence % WINDOW;
-    ((slot / WORD) as usize, 1 << (slot % WORD))
+fn bit_position(sequence: u64) -> (usize, u64) {
+    let index = sequence % REPLAY_WINDOW;
+    ((index / WORD_BITS) as usize, 1 << (index % WORD_BITS))
 }
--- a/crates/basilbank_wire/tests/codec.rs
+++ b/crates/basilbank_wire/tests/codec.rs
@@ -2,23 +2,23 @@
 
 use std::io::{Cursor, ErrorKind, Read};
 
-use basilbank_wire::Frames;
+use basilbank_wire::FramedStream;
 
-const LONGEST: usize = 100;
+const MAX_FRAME_LEN: usize = 100;
 
 /// Gives one byte at a time.
-struct Trickle(Cursor<Vec<u8>>);
+struct OneByteReader(Cursor<Vec<u8>>);
 
-impl Read for Trickle {
+impl Read for OneByteReader {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         let end = buffer.len().min(1);
         self.0.read(&mut buffer[..end])
     }
 }
 
-fn framed(frames: &[&[u8]]) -> Vec<u8> {
+fn encode_frames(frames: &[&[u8]]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let mut writer = Frames::new(&mut bytes, LONGEST);
+    let mut writer = FramedStream::new(&mut bytes, MAX_FRAME_LEN);
     for frame in frames {
         writer.write(frame.to_vec().into()).unwrap();
     }
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn frames_come_whole_from_a_trickle() {
-    let bytes = framed(&[b"one", b"", b"three"]);
-    let mut reader = Frames::new(Trickle(Cursor::new(bytes)), LONGEST);
+fn reads_frames_that_arrive_byte_by_byte() {
+    let bytes = encode_frames(&[b"one", b"", b"three"]);
+    let mut reader = FramedStream::new(OneByteReader(Cursor::new(bytes)), MAX_FRAME_LEN);
     for expected in [&b"one"[..], b"", b"three"] {
         assert_eq!(reader.read().unwrap().as_deref(), Some(expected));
     }
@@ -38,9 +38,9 @@
 /// Symptom: half a catalogue is taken for a whole one. Sequence: the sender dies while it writes.
 /// Cause: the stream's end is taken for the frame's end.
 #[test]
-fn a_cut_frame_is_an_error() {
-    let bytes = framed(&[b"whole", b"cut off"]);
-    let mut reader = Frames::new(Cursor::new(&bytes[..bytes.len() - 1]), LONGEST);
+fn truncated_frame_is_an_error() {
+    let bytes = encode_frames(&[b"whole", b"cut off"]);
+    let mut reader = FramedStream::new(Cursor::new(&bytes[..bytes.len() - 1]), MAX_FRAME_LEN);
     assert_eq!(reader.read().unwrap().as_deref(), Some(&b"whole"[..]));
     assert_eq!(reader.read().unwrap_err().kind(), ErrorKind::UnexpectedEof);
 }
@@ -48,16 +48,16 @@
 /// Symptom: a daemon runs out of memory. Sequence: a stranger connects and announces a frame of four
 /// gigabytes. Cause: the length is believed.
 #[test]
-fn a_length_beyond_the_limit_is_refused_before_it_is_read() {
-    let mut reader = Frames::new(Cursor::new([0xff_u8; 8]), LONGEST);
+fn oversized_length_is_rejected_before_the_frame_is_read() {
+    let mut reader = FramedStream::new(Cursor::new([0xff_u8; 8]), MAX_FRAME_LEN);
     assert_eq!(reader.read().unwrap_err().kind(), ErrorKind::InvalidData);
 }
 
 #[test]
-fn a_frame_beyond_the_limit_is_not_written() {
+fn oversized_frame_is_not_written() {
     let mut bytes = Vec::new();
-    let mut writer = Frames::new(&mut bytes, LONGEST);
-    let error = writer.write(vec![0; LONGEST + 1].into()).unwrap_err();
+    let mut writer = FramedStream::new(&mut bytes, MAX_FRAME_LEN);
+    let error = writer.write(vec![0; MAX_FRAME_LEN + 1].into()).unwrap_err();
     assert_eq!(error.kind(), ErrorKind::InvalidInput);
     assert!(bytes.is_empty());
 }
--- a/crates/basilbankd/src/arguments.rs
+++ b/crates/basilbankd/src/arguments.rs
@@ -43,22 +43,22 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PlatformArguments {
     /// The settings' file.
-    pub settings: PathBuf,
+    pub settings_path: PathBuf,
     /// Only check the settings.
-    pub check: bool,
+    pub check_only: bool,
     /// Lines to write.
-    pub level: String,
+    pub log_level: String,
     /// A port for metrics alone.
-    pub metrics: Option<u16>,
+    pub metrics_port: Option<u16>,
 }
 
 /// How to run.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Arguments {
     /// The settings' file.
-    pub settings: PathBuf,
+    pub settings_path: PathBuf,
     /// Only check the settings.
-    pub check: bool,
+    pub check_only: bool,
 }
 
 impl Arguments {
@@ -74,29 +74,34 @@
         if arguments.contains(["-V", "--version"]) {
             return Ok(Command::Version);
         }
-        let check = arguments.contains("--check");
+        let check_only = arguments.contains("--check");
         let platform = arguments.contains("--platform");
-        let settings: Option<PathBuf> =
+        let settings_path: Option<PathBuf> =
             arguments.opt_value_from_str("--settings").context("--settings FILE is needed")?;
         // Options of the platform's daemons stay unknown arguments elsewhere.
-        let (level, metrics) = match platform {
+        let (log_level, metrics_port) = match platform {
             true => {
                 (arguments.opt_value_from_str("--log")?, arguments.opt_value_from_str("--metrics")?)
             }
             false => (None, None),
         };
-        if let Some(rest) = arguments.finish().first() {
-            bail!("unknown argument {}", rest.to_string_lossy());
+        if let Some(unknown) = arguments.finish().first() {
+            bail!("unknown argument {}", unknown.to_string_lossy());
         }
         if platform {
-            let settings =
-                settings.or_else(basilbank_platform::daemon::settings_path).with_context(|| {
-                    format!("--settings FILE or {SETTINGS_PATH_VARIABLE} is needed")
-                })?;
-            let level = level.unwrap_or_else(|| "info".to_owned());
-            return Ok(Command::Platform(PlatformArguments { settings, check, level, metrics }));
+            let settings_path =
+                settings_path.or_else(basilbank_platform::daemon::settings_path).with_context(
+                    || format!("--settings FILE or {SETTINGS_PATH_VARIABLE} is needed"),
+                )?;
+            let log_level = log_level.unwrap_or_else(|| "info".to_owned());
+            return Ok(Command::Platform(PlatformArguments {
+                settings_path,
+                check_only,
+                log_level,
+                metrics_port,
+            }));
         }
-        let settings = settings.context("--settings FILE is needed")?;
-        Ok(Command::Run(Arguments { settings, check }))
+        let settings_path = settings_path.context("--settings FILE is needed")?;
+        Ok(Command::Run(Arguments { settings_path, check_only }))
     }
 }
--- a/crates/basilbankd/src/main.rs
+++ b/crates/basilbankd/src/main.rs
@@ -16,60 +16,62 @@
 use crate::arguments::{Arguments, Command, PlatformArguments, USAGE};
 
 /// Exit code of a daemon that failed.
-const FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 
 /// Exit code for a wrong command line or wrong settings.
-const WRONG: u8 = 2;
+const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let command = match Arguments::from_env() {
         Ok(command) => command,
-        Err(error) => return complain(&format!("basilbankd: {error}\n\n{USAGE}"), WRONG),
+        Err(error) => {
+            return print_error(&format!("basilbankd: {error}\n\n{USAGE}"), EXIT_INVALID_INPUT);
+        }
     };
     match command {
-        Command::Help => say(USAGE),
-        Command::Version => say(concat!("basilbankd ", env!("CARGO_PKG_VERSION"), "\n")),
+        Command::Help => print(USAGE),
+        Command::Version => print(concat!("basilbankd ", env!("CARGO_PKG_VERSION"), "\n")),
         Command::Run(arguments) => run(&arguments),
         Command::Platform(arguments) => run_on_platform(&arguments),
     }
 }
 
 fn run_on_platform(arguments: &PlatformArguments) -> ExitCode {
-    let checked = basilbank_platform::settings::Settings::read(&arguments.settings);
-    if let Err(error) = checked {
-        return complain(&format!("basilbankd: {error:#}\n"), WRONG);
+    let settings = basilbank_platform::settings::Settings::read(&arguments.settings_path);
+    if let Err(error) = settings {
+        return print_error(&format!("basilbankd: {error:#}\n"), EXIT_INVALID_INPUT);
     }
-    if arguments.check {
-        return say(&format!("{}: no findings\n", arguments.settings.display()));
+    if arguments.check_only {
+        return print(&format!("{}: no findings\n", arguments.settings_path.display()));
     }
-    let log = match logs::start_to(&arguments.level, Box::new(io::stdout())) {
+    let log = match logs::start_to(&arguments.log_level, Box::new(io::stdout())) {
         Ok(log) => log,
-        Err(error) => return complain(&format!("basilbankd: {error:#}\n"), WRONG),
+        Err(error) => return print_error(&format!("basilbankd: {error:#}\n"), EXIT_INVALID_INPUT),
     };
-    let ended = basilbank_platform::daemon::run(&arguments.settings, arguments.metrics);
+    let result = basilbank_platform::daemon::run(&arguments.settings_path, arguments.metrics_port);
     log.flush();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => complain(&format!("basilbankd: {error:#}\n"), FAILED),
+        Err(error) => print_error(&format!("basilbankd: {error:#}\n"), EXIT_FAILURE),
     }
 }
 
 fn run(arguments: &Arguments) -> ExitCode {
-    let file = arguments.settings.display().to_string();
-    let text = match fs::read_to_string(&arguments.settings) {
+    let file = arguments.settings_path.display().to_string();
+    let text = match fs::read_to_string(&arguments.settings_path) {
         Ok(text) => text,
-        Err(error) => return complain(&format!("{file}: {error}\n"), WRONG),
+        Err(error) => return print_error(&format!("{file}: {error}\n"), EXIT_INVALID_INPUT),
     };
     let settings = match Settings::parse(&file, &text) {
         Ok(settings) => settings,
-        Err(findings) => return complain(&format!("{findings}\n"), WRONG),
+        Err(findings) => return print_error(&format!("{findings}\n"), EXIT_INVALID_INPUT),
     };
-    if arguments.check {
-        return say(&format!("{file}: no findings\n"));
+    if arguments.check_only {
+        return print(&format!("{file}: no findings\n"));
     }
     match serve(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => complain(&format!("basilbankd: {error:#}\n"), FAILED),
+        Err(error) => print_error(&format!("basilbankd: {error:#}\n"), EXIT_FAILURE),
     }
 }
 
@@ -78,7 +80,7 @@
     let log = logs::start(&settings.log).context("logs")?;
     let name = settings.name.clone();
     let daemon = Daemon::start(settings)?;
-    signals::watch(&daemon, log.clone()).context("signals")?;
+    signals::spawn_handler(&daemon, log.clone()).context("signals")?;
     let line = logs::Line::new("started")
         .with("vm", name)
         .with("callers", daemon.callers())
@@ -91,12 +93,12 @@
     Ok(())
 }
 
-fn say(text: &str) -> ExitCode {
-    let written = io::stdout().write_all(text.as_bytes());
-    if written.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(FAILED) }
+fn print(text: &str) -> ExitCode {
+    let result = io::stdout().write_all(text.as_bytes());
+    if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILURE) }
 }
 
-fn complain(text: &str, code: u8) -> ExitCode {
+fn print_error(text: &str, code: u8) -> ExitCode {
     let _ = io::stderr().write_all(text.as_bytes());
     ExitCode::from(code)
 }
--- a/crates/basilbankd/src/signals.rs
+++ b/crates/basilbankd/src/signals.rs
@@ -12,32 +12,32 @@
 };
 
 /// Exit code after a second signal.
-const CUT: i32 = 1;
+const EXIT_REQUESTS_ABORTED: i32 = 1;
 
 /// Shuts the daemon down on the first signal, and ends the process on the second.
 ///
 /// # Errors
 /// The signals can't be caught.
-pub fn watch(daemon: &Daemon, log: LogFlush) -> io::Result<()> {
+pub fn spawn_handler(daemon: &Daemon, log: LogFlush) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let shutdown = daemon.handle();
-    let serve = move || {
-        let mut caught = signals.forever();
-        if caught.next().is_some() {
+    let handle_signals = move || {
+        let mut received = signals.forever();
+        if received.next().is_some() {
             log::info!("{}", logs::Line::new("shutdown"));
             shutdown.start();
         }
-        if caught.next().is_some() {
-            cut(&shutdown, &log);
+        if received.next().is_some() {
+            abort_requests(&shutdown, &log);
         }
     };
-    thread::Builder::new().name("signals".to_owned()).spawn(serve)?;
+    thread::Builder::new().name("signals".to_owned()).spawn(handle_signals)?;
     Ok(())
 }
 
-fn cut(shutdown: &Shutdown, log: &LogFlush) -> ! {
+fn abort_requests(shutdown: &Shutdown, log: &LogFlush) -> ! {
     let line = logs::Line::new("cut").with("requests", shutdown.in_progress());
     log::error!("{line}");
     log.flush();
-    process::exit(CUT)
+    process::exit(EXIT_REQUESTS_ABORTED)
 }
