--- a/crates/basilbank_wire/src/authenticator.rs
+++ b/crates/basilbank_wire/src/authenticator.rs
@@ -1,4 +1,4 @@
-//! Packets are sealed with the peers' key.
+//! Authentication of packets with a MAC, whose key is derived from the key that the peers share.
 
 use hmac::{Hmac, KeyInit, Mac};
 use prost::Message as _;
@@ -6,13 +6,14 @@
 
 use crate::{DropReason, Packet};
 
-/// Bytes of a seal: HMAC-SHA256, of which the first half is sent.
+/// Length of a MAC in bytes: the first half of an HMAC-SHA256.
 pub const MAC_LEN: usize = 16;
 
-/// Keeps seals of other uses of the peers' key, and of other versions, from passing here.
+/// Label from which the MAC key is derived. It prevents a MAC made for another use of the peers'
+/// key, or by another version of the protocol, from being valid here.
 const KEY_DERIVATION_LABEL: &[u8] = b"basilbank peers 1";
 
-/// Seals packets, and opens those that were sealed with the same key.
+/// Adds MACs to packets, and verifies those of packets from daemons with the same key.
 ///
 /// ```
 /// use basilbank_wire::{Authenticator, DropReason, Packet};
@@ -35,14 +36,14 @@
 }
 
 impl Authenticator {
-    /// Derives the sealing key from the peers' key, which may have any length.
+    /// Derives the MAC key from the peers' key, which may have any length.
     #[must_use]
     pub fn new(key: &[u8]) -> Authenticator {
         let mac_key = new_hmac(key).chain_update(KEY_DERIVATION_LABEL).finalize().into_bytes();
         Authenticator { hmac: new_hmac(&mac_key) }
     }
 
-    /// A packet's bytes: the seal, then the encoded packet.
+    /// Returns the MAC followed by the encoded packet.
     #[must_use]
     pub fn encode_with_mac(&self, packet: &Packet) -> Vec<u8> {
         let mut bytes = vec![0; MAC_LEN];
@@ -53,11 +54,11 @@
         bytes
     }
 
-    /// The packet in sealed bytes. The seal is compared in constant time, and before anything of the
-    /// packet is decoded.
+    /// Verifies the MAC and decodes the packet. The MAC is compared in constant time, before any
+    /// part of the packet is decoded.
     ///
     /// # Errors
-    /// `Forged` or `Malformed`.
+    /// `Forged` if the MAC is missing or invalid, `Malformed` if the packet can't be decoded.
     pub fn verify_and_decode(&self, bytes: &[u8]) -> Result<Packet, DropReason> {
         let Some((mac, encoded)) = bytes.split_at_checked(MAC_LEN) else {
             return Err(DropReason::Forged);
@@ -68,7 +69,7 @@
     }
 }
 
-/// HMAC takes keys of any length, so a key is never refused.
+/// Creates an HMAC. It accepts keys of any length, so this can't fail.
 fn new_hmac(key: &[u8]) -> Hmac<Sha256> {
     Hmac::new_from_slice(key).expect("HMAC takes keys of any length")
 }
--- a/crates/basilbank_wire/src/codec.rs
+++ b/crates/basilbank_wire/src/codec.rs
@@ -1,14 +1,15 @@
-//! Frames over a stream: a length of four bytes, then as many bytes.
+//! Framing of a byte stream: each frame is a length of four bytes followed by that many bytes.
 
 use std::io::{self, Read, Write};
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Bytes that are read from the stream at a time.
+/// Maximum number of bytes read from the stream at a time.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// Reads and writes frames on a blocking stream. The codec is `tokio-util`'s; no runtime is needed.
+/// Reads and writes length-delimited frames on a blocking stream. It uses the codec of `tokio-util`
+/// without a runtime.
 ///
 /// ```
 /// use basilbank_wire::FramedStream;
@@ -28,7 +29,7 @@
 }
 
 impl<S> FramedStream<S> {
-    /// Frames of at most `max_frame_len` bytes.
+    /// Wraps a stream; a frame may have at most `max_frame_len` bytes, without its length field.
     pub fn new(stream: S, max_frame_len: usize) -> FramedStream<S> {
         let codec = LengthDelimitedCodec::builder().max_frame_length(max_frame_len).new_codec();
         FramedStream { stream, codec, buffer: BytesMut::new() }
@@ -36,11 +37,11 @@
 }
 
 impl<S: Read> FramedStream<S> {
-    /// The next frame; `None` when the stream ended between two frames.
+    /// Reads the next frame. Returns `None` if the stream ends between two frames.
     ///
     /// # Errors
-    /// `InvalidData` when the frame is too long, `UnexpectedEof` when the stream ended within one,
-    /// and the stream's own errors.
+    /// `InvalidData` if the frame is longer than the maximum, `UnexpectedEof` if the stream ends
+    /// within a frame, and errors of the stream.
     pub fn read(&mut self) -> io::Result<Option<BytesMut>> {
         loop {
             if let Some(frame) = self.codec.decode(&mut self.buffer)? {
@@ -57,6 +58,7 @@
         }
     }
 
+    /// Appends bytes from the stream to the buffer. Returns 0 at the end of the stream.
     fn fill_buffer(&mut self) -> io::Result<usize> {
         let len = self.buffer.len();
         self.buffer.resize(len + READ_CHUNK_BYTES, 0);
@@ -67,10 +69,10 @@
 }
 
 impl<S: Write> FramedStream<S> {
-    /// Writes a frame.
+    /// Writes a frame and flushes the stream.
     ///
     /// # Errors
-    /// `InvalidInput` when it is too long, and the stream's own errors.
+    /// `InvalidInput` if the frame is longer than the maximum, and errors of the stream.
     pub fn write(&mut self, frame: Bytes) -> io::Result<()> {
         let mut bytes = BytesMut::new();
         self.codec.encode(frame, &mut bytes)?;
--- a/crates/basilbank_wire/src/drop_reason.rs
+++ b/crates/basilbank_wire/src/drop_reason.rs
@@ -1,26 +1,27 @@
-//! Why a packet was dropped.
+//! Reasons for which a packet from a peer is dropped.
 
-/// Why a packet was dropped. Each has a counter.
+/// Reason for which a packet was dropped. Each reason has a counter in the metrics.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub enum DropReason {
-    /// Its seal was made with another key, or its bytes were changed.
+    /// The MAC doesn't match: it was made with another key, or the bytes were changed.
     Forged,
-    /// Its seal is right, but it can't be decoded.
+    /// The MAC is valid, but the packet can't be decoded; or reading a frame from a stream failed.
     Malformed,
-    /// It is meant for another VM.
+    /// The packet is addressed to another VM.
     Misaddressed,
-    /// It was seen before, or is too old to tell.
+    /// The packet was received before, or its sequence number is below the replay window, so that a
+    /// repetition can't be detected.
     Replayed,
-    /// Its sender has been heard from a later incarnation.
+    /// A packet of a later incarnation of the sender was received before.
     OldIncarnation,
-    /// It is larger than packets may be.
+    /// The packet is larger than the maximum size.
     TooLarge,
-    /// The receiver is behind.
+    /// The receiver can't keep up with the packets that arrive.
     Overload,
 }
 
 impl DropReason {
-    /// All of them, in order.
+    /// All reasons, in the order of their definition.
     pub const ALL: &[DropReason] = &[
         DropReason::Forged,
         DropReason::Malformed,
@@ -31,7 +32,7 @@
         DropReason::Overload,
     ];
 
-    /// The stable name, used as metric label.
+    /// Returns the stable name, which is used as a metric label.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/basilbank_wire/src/lib.rs
+++ b/crates/basilbank_wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! The messages that daemons exchange, and how they become bytes.
+//! Messages that the daemons exchange: their types, encoding, authentication and replay protection.
 //!
 //! ```
 //! use basilbank_wire::{Body, Heartbeat, Message};
--- a/crates/basilbank_wire/src/replay.rs
+++ b/crates/basilbank_wire/src/replay.rs
@@ -1,27 +1,31 @@
-//! Packets are taken once, and only from a sender's latest incarnation.
+//! Replay protection: each packet is accepted once, and only from its sender's latest incarnation.
 
 use std::collections::HashMap;
 
 use crate::DropReason;
 
-/// Sequence numbers below the highest one that may still come. A large packet travels over TCP while
-/// thousands of small ones overtake it.
+/// Number of sequence numbers, up to the highest received one, that can still be accepted. A large
+/// packet is sent over TCP, and thousands of small ones may arrive before it.
 pub const REPLAY_WINDOW: u64 = 4096;
 
-/// Senders remembered at once; the one unheard for longest is forgotten for a new one.
+/// Maximum number of senders that are remembered. A new sender replaces the one whose last packet
+/// is the oldest.
 pub const MAX_SENDERS: usize = 4096;
 
+/// Number of bits in a word of the window's bitmap.
 const WORD_BITS: u64 = u64::BITS as u64;
+/// Number of words in the window's bitmap.
 const WINDOW_WORDS: usize = (REPLAY_WINDOW / WORD_BITS) as usize;
 
-/// What has been received from whom.
+/// Detects repeated packets by the sequence numbers received from each sender.
 ///
-/// A packet that an attacker recorded has a right seal. Taken a second time, or after its sender has
-/// restarted, it would speak for a state that is gone: free a slot that was granted again, or show a
-/// dead daemon alive.
+/// A packet that an attacker has recorded has a valid MAC. If it were accepted a second time, or
+/// after its sender has restarted, it would report an outdated state: it could free a slot that has
+/// been granted again, or make a dead daemon appear alive.
 #[derive(Debug, Default)]
 pub struct ReplayGuard {
     senders: HashMap<u64, Sender>,
+    /// Number of packets checked so far; used as a clock to order the senders by their last packet.
     packet_count: u64,
 }
 
@@ -29,15 +33,15 @@
 struct Sender {
     incarnation: u64,
     window: Window,
-    /// The guard's counter when the sender was last heard.
+    /// Value of `ReplayGuard::packet_count` when the last packet of this incarnation arrived.
     last_seen: u64,
 }
 
 impl ReplayGuard {
-    /// Takes note of a packet whose seal is right.
+    /// Records a packet whose MAC is valid.
     ///
     /// # Errors
-    /// `OldIncarnation` or `Replayed`; the packet must be dropped.
+    /// `OldIncarnation` or `Replayed`: the caller must drop the packet.
     pub fn check(
         &mut self,
         sender_id: u64,
@@ -61,13 +65,13 @@
         if sender.window.record(sequence) { Ok(()) } else { Err(DropReason::Replayed) }
     }
 
-    /// Number of senders remembered.
+    /// Returns the number of senders that are remembered.
     #[must_use]
     pub fn len(&self) -> usize {
         self.senders.len()
     }
 
-    /// Whether nobody has been heard.
+    /// Returns whether no sender is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.senders.is_empty()
@@ -82,11 +86,11 @@
     }
 }
 
-/// One bit for each of the last `REPLAY_WINDOW` sequence numbers; number `n` has bit
-/// `n % REPLAY_WINDOW`.
+/// Bitmap of the last `REPLAY_WINDOW` sequence numbers: bit `n % REPLAY_WINDOW` is set if number
+/// `n` was received.
 #[derive(Debug)]
 struct Window {
-    /// The number after the highest one seen.
+    /// Highest received sequence number plus one; 0 if none was received.
     next: u64,
     bits: Box<[u64; WINDOW_WORDS]>,
 }
@@ -98,7 +102,8 @@
 }
 
 impl Window {
-    /// Takes a number; `false` when it was taken before or is too old to tell.
+    /// Records a sequence number. Returns `false` if it was recorded before, is below the window,
+    /// or is `u64::MAX`, for which `next` would overflow.
     fn record(&mut self, sequence: u64) -> bool {
         if sequence.saturating_add(REPLAY_WINDOW) < self.next || sequence == u64::MAX {
             return false;
@@ -112,7 +117,8 @@
         is_new
     }
 
-    /// Makes a number the highest, and clears the bits of those between.
+    /// Makes `sequence` the highest number. Clears its bit and the bits of the numbers skipped
+    /// before it, which still stand for numbers that have left the window.
     fn advance(&mut self, sequence: u64) {
         if REPLAY_WINDOW <= sequence - self.next {
             self.bits.fill(0);
@@ -126,6 +132,7 @@
     }
 }
 
+/// Returns the index of the word in the bitmap and the mask of the bit for a sequence number.
 fn bit_position(sequence: u64) -> (usize, u64) {
     let index = sequence % REPLAY_WINDOW;
     ((index / WORD_BITS) as usize, 1 << (index % WORD_BITS))
--- a/crates/basilbank_wire/tests/authenticator.rs
+++ b/crates/basilbank_wire/tests/authenticator.rs
@@ -1,4 +1,4 @@
-//! Packets that were not made by a peer for this daemon are dropped.
+//! Packets without a valid MAC, and packets that can't be decoded, are rejected.
 
 use basilbank_wire::{Authenticator, Body, DropReason, Heartbeat, MAC_LEN, Message, Packet};
 use hmac::{Hmac, KeyInit, Mac};
@@ -10,16 +10,16 @@
     Packet { from: 1, incarnation: 2, sequence: 3, to: 4, messages }
 }
 
-/// Symptom: a stranger on the network shows a dead daemon alive. Sequence: it sends a heartbeat
-/// sealed with a key of its own. Cause: the seal is not checked.
+/// Guards against an outsider on the network that makes a dead daemon appear alive. It sends a
+/// heartbeat with a MAC of its own key, and the MAC is not verified.
 #[test]
 fn packet_of_another_key_is_forged() {
     let bytes = Authenticator::new(b"theirs").encode_with_mac(&packet());
     assert_eq!(Authenticator::new(b"ours").verify_and_decode(&bytes), Err(DropReason::Forged));
 }
 
-/// Symptom: a grant arrives for another request than it was given for. Sequence: one bit changes on
-/// the way. Cause: the seal leaves a part of the packet out.
+/// Guards against a grant that arrives for another request than it was given for. One bit changes
+/// in transit, and the MAC doesn't cover this part of the packet.
 #[test]
 fn packet_with_a_flipped_bit_is_forged() {
     let authenticator = Authenticator::new(b"ours");
@@ -44,8 +44,8 @@
     }
 }
 
-/// A peer of another version may seal what this one can't read. The key derivation is written out
-/// here once more, so that a change of it is noticed as a change of the protocol.
+/// A peer of another version may send packets that this one can't decode. The test repeats the key
+/// derivation, so that a change to it is noticed as a change of the protocol.
 #[test]
 fn undecodable_packet_with_valid_mac_is_malformed() {
     let new_hmac = |key: &[u8]| Hmac::<Sha256>::new_from_slice(key).unwrap();
--- a/crates/basilbank_wire/tests/codec.rs
+++ b/crates/basilbank_wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames over streams that break, lie or trickle.
+//! Frames over streams that end early, announce a wrong length, or deliver one byte at a time.
 
 use std::io::{Cursor, ErrorKind, Read};
 
@@ -6,7 +6,7 @@
 
 const MAX_FRAME_LEN: usize = 100;
 
-/// Gives one byte at a time.
+/// Returns at most one byte from each read.
 struct OneByteReader(Cursor<Vec<u8>>);
 
 impl Read for OneByteReader {
@@ -35,8 +35,8 @@
     assert_eq!(reader.read().unwrap(), None);
 }
 
-/// Symptom: half a catalogue is taken for a whole one. Sequence: the sender dies while it writes.
-/// Cause: the stream's end is taken for the frame's end.
+/// Guards against accepting a part of a catalogue as a full one. The sender fails while it writes,
+/// and the end of the stream is mistaken for the end of the frame.
 #[test]
 fn truncated_frame_is_an_error() {
     let bytes = encode_frames(&[b"whole", b"cut off"]);
@@ -45,8 +45,8 @@
     assert_eq!(reader.read().unwrap_err().kind(), ErrorKind::UnexpectedEof);
 }
 
-/// Symptom: a daemon runs out of memory. Sequence: a stranger connects and announces a frame of four
-/// gigabytes. Cause: the length is believed.
+/// Guards against a daemon that runs out of memory. An unauthenticated client connects and
+/// announces a frame of four gigabytes, and the daemon relies on this length.
 #[test]
 fn oversized_length_is_rejected_before_the_frame_is_read() {
     let mut reader = FramedStream::new(Cursor::new([0xff_u8; 8]), MAX_FRAME_LEN);
--- a/crates/basilbank_wire/tests/replay.rs
+++ b/crates/basilbank_wire/tests/replay.rs
@@ -1,4 +1,4 @@
-//! A packet is taken once, and only from its sender's latest incarnation.
+//! A packet is accepted once, and only from its sender's latest incarnation.
 
 use basilbank_wire::{DropReason, MAX_SENDERS, REPLAY_WINDOW, ReplayGuard};
 
@@ -8,8 +8,8 @@
     guard.check(VM, incarnation, sequence).is_ok()
 }
 
-/// Symptom: a slot is freed that has been granted again since. Sequence: a release is recorded on
-/// the network and sent a second time. Cause: its seal is right, and nobody remembers it.
+/// Guards against freeing a slot that has been granted again. An attacker records a release on the
+/// network and sends it a second time. Its MAC is valid, so only the replay guard can detect it.
 #[test]
 fn repeated_packet_is_dropped() {
     let mut guard = ReplayGuard::default();
@@ -19,8 +19,9 @@
     assert_eq!(guard.check(VM, 1, 5), Err(DropReason::Replayed));
 }
 
-/// Symptom: a daemon that restarted is thought to hold what it held before. Sequence: it restarts,
-/// is heard, and a packet of its last life arrives late. Cause: only sequence numbers are compared.
+/// Guards against assuming that a restarted daemon still holds what it held before. A packet of its
+/// previous incarnation arrives after the first one of the new incarnation, and only sequence
+/// numbers are compared.
 #[test]
 fn packet_of_old_incarnation_is_dropped() {
     let mut guard = ReplayGuard::default();
@@ -39,10 +40,11 @@
         assert!(!is_accepted(&mut guard, 1, sequence), "{sequence} again");
     }
     assert!(is_accepted(&mut guard, 1, REPLAY_WINDOW + 1));
-    assert!(!is_accepted(&mut guard, 1, 1), "1 is out of the window now, so nobody can tell");
+    assert!(!is_accepted(&mut guard, 1, 1), "1 is below the window, so it may be repeated");
 }
 
-/// The same numbers in any order, against a set that remembers all.
+/// Compares the guard with a set of all received sequence numbers, for pseudo-random numbers that
+/// repeat.
 #[test]
 fn agrees_with_a_set_of_all_sequence_numbers() {
     let mut guard = ReplayGuard::default();
@@ -68,8 +70,8 @@
     assert!(!is_accepted(&mut guard, 1, u64::MAX));
 }
 
-/// Symptom: a daemon's memory grows with each VM that was ever replaced. Cause: senders are never
-/// forgotten.
+/// Guards against memory that grows with each VM that is replaced, because senders are never
+/// removed.
 #[test]
 fn least_recently_seen_sender_is_evicted() {
     let mut guard = ReplayGuard::default();
@@ -79,6 +81,6 @@
     assert_eq!(guard.check(0, 5, 1), Ok(()));
     assert_eq!(guard.check(u64::MAX, 5, 0), Ok(()));
     assert_eq!(guard.len(), MAX_SENDERS);
-    assert_eq!(guard.check(0, 5, 1), Err(DropReason::Replayed), "0 was heard after 1");
-    assert_eq!(guard.check(1, 5, 0), Ok(()), "1 was forgotten");
+    assert_eq!(guard.check(0, 5, 1), Err(DropReason::Replayed), "0 was seen after 1");
+    assert_eq!(guard.check(1, 5, 0), Ok(()), "1 was evicted");
 }
--- a/crates/basilbankd/src/arguments.rs
+++ b/crates/basilbankd/src/arguments.rs
@@ -1,11 +1,11 @@
-//! The command line.
+//! Command-line arguments of the daemon.
 
 use std::path::PathBuf;
 
 use anyhow::{Context, bail};
 use basilbank_platform::settings::SETTINGS_PATH_VARIABLE;
 
-/// What `--help` prints.
+/// Text that `--help` prints.
 pub const USAGE: &str = "\
 Usage: basilbankd --settings FILE [--check]
        basilbankd --platform [--settings FILE] [--check] [--log LEVEL] [--metrics PORT]
@@ -13,59 +13,59 @@
 Runs one daemon of the router.
 
   --settings FILE  the daemon's settings, JSON with comments
-  --platform       run on the users' platform: the settings have its format, and without --settings
-                   stand where the environment says
-  --log LEVEL      lines to write with --platform: error, warn, info (default), debug
-  --metrics PORT   serve /metrics at this port too, with --platform; the ready address always does
+  --platform       run on the users' platform: the settings have the platform's format, and without
+                   --settings are read from the file that the environment names
+  --log LEVEL      lowest level to log with --platform: error, warn, info (default), debug
+  --metrics PORT   also serve /metrics at this port, with --platform; the ready address always does
   --check          check the settings, print all findings, and exit
   --help           print this
   --version        print the version
 
-SIGTERM or SIGINT: takes no new work, finishes all in progress, exits with 0.
-A second one: exits at once with 1 and says how many requests it cut.
-Exit code 2: the command line or the settings are wrong.
+SIGTERM or SIGINT: accepts no new work, finishes all requests in progress, exits with 0.
+A second signal: exits at once with 1 and logs how many requests it aborted.
+Exit code 2: the command line or the settings are invalid.
 ";
 
-/// What the command line asks for.
+/// Action that the command line selects.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Command {
-    /// Print how to use the program.
+    /// Print the usage text.
     Help,
     /// Print the version.
     Version,
-    /// Run, or check the settings.
+    /// Run the daemon, or only check its settings.
     Run(Arguments),
-    /// Run on the users' platform, or check the settings that it wrote.
+    /// Run the daemon on the users' platform, or only check the settings that the platform wrote.
     Platform(PlatformArguments),
 }
 
-/// How to run on the users' platform.
+/// Arguments for a daemon on the users' platform.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PlatformArguments {
-    /// The settings' file.
+    /// Path of the settings file.
     pub settings_path: PathBuf,
-    /// Only check the settings.
+    /// Whether to exit after checking the settings.
     pub check_only: bool,
-    /// Lines to write.
+    /// Lowest level of the log lines that are written.
     pub log_level: String,
-    /// A port for metrics alone.
+    /// Additional port that serves metrics only.
     pub metrics_port: Option<u16>,
 }
 
-/// How to run.
+/// Arguments for a daemon without `--platform`.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Arguments {
-    /// The settings' file.
+    /// Path of the settings file.
     pub settings_path: PathBuf,
-    /// Only check the settings.
+    /// Whether to exit after checking the settings.
     pub check_only: bool,
 }
 
 impl Arguments {
-    /// Reads the process's command line.
+    /// Parses the command line of the process.
     ///
     /// # Errors
-    /// An argument is missing or unknown.
+    /// An argument is missing, unknown or has an invalid value.
     pub fn from_env() -> anyhow::Result<Command> {
         let mut arguments = pico_args::Arguments::from_env();
         if arguments.contains(["-h", "--help"]) {
@@ -78,7 +78,7 @@
         let platform = arguments.contains("--platform");
         let settings_path: Option<PathBuf> =
             arguments.opt_value_from_str("--settings").context("--settings FILE is needed")?;
-        // Options of the platform's daemons stay unknown arguments elsewhere.
+        // Without `--platform`, `--log` and `--metrics` are rejected as unknown arguments.
         let (log_level, metrics_port) = match platform {
             true => {
                 (arguments.opt_value_from_str("--log")?, arguments.opt_value_from_str("--metrics")?)
--- a/crates/basilbankd/src/main.rs
+++ b/crates/basilbankd/src/main.rs
@@ -1,4 +1,5 @@
-//! The basilbank daemon: command line, settings and signals around [`basilbank::Daemon`].
+//! The basilbank daemon: reads the command line and the settings, runs [`basilbank::Daemon`], and
+//! handles signals.
 
 mod arguments;
 mod signals;
@@ -15,10 +16,10 @@
 
 use crate::arguments::{Arguments, Command, PlatformArguments, USAGE};
 
-/// Exit code of a daemon that failed.
+/// Exit code if the daemon fails to start or while it runs, or if standard output can't be written.
 const EXIT_FAILURE: u8 = 1;
 
-/// Exit code for a wrong command line or wrong settings.
+/// Exit code if the command line or the settings are invalid.
 const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Serves until a signal, and then until all in progress is done.
+/// Runs the daemon until a signal arrives, and then until all requests in progress have finished.
 fn serve(settings: Settings) -> anyhow::Result<()> {
     let log = logs::start(&settings.log).context("logs")?;
     let name = settings.name.clone();
@@ -93,11 +94,13 @@
     Ok(())
 }
 
+/// Writes to standard output. Returns the exit code of the process.
 fn print(text: &str) -> ExitCode {
     let result = io::stdout().write_all(text.as_bytes());
     if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILURE) }
 }
 
+/// Writes to standard error. Returns `code` as the exit code of the process.
 fn print_error(text: &str, code: u8) -> ExitCode {
     let _ = io::stderr().write_all(text.as_bytes());
     ExitCode::from(code)
--- a/crates/basilbankd/src/signals.rs
+++ b/crates/basilbankd/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGINT.
+//! Handling of SIGTERM and SIGINT.
 
 use std::{io, process, thread};
 
@@ -11,13 +11,14 @@
     iterator::Signals,
 };
 
-/// Exit code after a second signal.
+/// Exit code if a second signal aborts the requests in progress.
 const EXIT_REQUESTS_ABORTED: i32 = 1;
 
-/// Shuts the daemon down on the first signal, and ends the process on the second.
+/// Starts a thread that shuts the daemon down on the first signal and exits the process on the
+/// second.
 ///
 /// # Errors
-/// The signals can't be caught.
+/// The signal handlers can't be installed, or the thread can't be started.
 pub fn spawn_handler(daemon: &Daemon, log: LogFlush) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let shutdown = daemon.handle();
@@ -35,6 +36,7 @@
     Ok(())
 }
 
+/// Logs the number of requests in progress and exits the process.
 fn abort_requests(shutdown: &Shutdown, log: &LogFlush) -> ! {
     let line = logs::Line::new("cut").with("requests", shutdown.in_progress());
     log::error!("{line}");
