--- a/crates/basilbank_forward/src/state.rs
+++ b/crates/basilbank_forward/src/state.rs
@@ -304,21 +304,21 @@
 
     /// Returns what a topic's reader has to know about this daemon and its peers.
     pub fn reader_context(&mut self, topic: Topic) -> ReaderContext {
-        let wait = self.pick_watch_wait();
+        let watch_wait = self.pick_watch_wait();
         let FollowState { follows, watcher_losses } = self.follow_state();
-        let peers = self.peers.known.len();
-        let shared = peers != 0 && (!self.is_large_fleet() || self.is_watcher());
-        let news = *self.latest_changes.get(topic);
+        let peers_in_contact = self.peers.known.len();
+        let is_shared = peers_in_contact != 0 && (!self.is_large_fleet() || self.is_watcher());
+        let latest_change = *self.latest_changes.get(topic);
         let confirms = topic == Topic::Routes && self.needs_confirmation();
-        let most = if confirms { freshness::MAX_WATCH_WAIT } else { Duration::MAX };
-        let follows = follows && !(confirms && self.is_confirmation_old(self.peers.now));
+        let max_wait = if confirms { freshness::MAX_WATCH_WAIT } else { Duration::MAX };
+        let is_follower = follows && !(confirms && self.is_confirmation_old(self.peers.now));
         ReaderContext {
-            watch_wait: wait,
-            max_wait: most,
-            peers_in_contact: peers,
-            is_shared: shared,
-            latest_change: news,
-            is_follower: follows,
+            watch_wait,
+            max_wait,
+            peers_in_contact,
+            is_shared,
+            latest_change,
+            is_follower,
             watcher_losses,
         }
     }
