--- a/crates/basilbank_forward/tests/reading/eras.rs
+++ b/crates/basilbank_forward/tests/reading/eras.rs
@@ -5,89 +5,89 @@
 use basilbank_forward::prelude::*;
 
 /// A daemon's readers, fed by hand.
-struct Rig {
+struct ReaderHarness {
     readers: Readers,
     now: Duration,
-    news: PerTopic<Revision>,
+    latest_change: PerTopic<Revision>,
     /// Questions of the configuration and of the list that are open, the newest last.
-    asked: PerTopic<Vec<(ReadId, Scope)>>,
+    pending: PerTopic<Vec<(ReadId, Scope)>>,
     /// Questions for the beginning of everything.
-    anew: u32,
-    disproved: Vec<Revision>,
+    full_reads: u32,
+    missing_revisions: Vec<Revision>,
 }
 
-impl Rig {
+impl ReaderHarness {
     /// Both topics were read in this era, and are watched.
-    fn new(era: Option<u64>) -> Rig {
-        let mut rig = Rig {
+    fn new(era: Option<u64>) -> ReaderHarness {
+        let mut harness = ReaderHarness {
             readers: Readers::default(),
             now: Duration::from_secs(1),
-            news: PerTopic::default(),
-            asked: PerTopic { routes: Vec::new(), endpoints: Vec::new() },
-            anew: 0,
-            disproved: Vec::new(),
+            latest_change: PerTopic::default(),
+            pending: PerTopic { routes: Vec::new(), endpoints: Vec::new() },
+            full_reads: 0,
+            missing_revisions: Vec::new(),
         };
         for topic in Topic::ALL {
-            rig.feed(topic, ReadEvent::Tick);
-            rig.answer(topic, era, 100);
+            harness.step(topic, ReadEvent::Tick);
+            harness.end_without_changes(topic, era, 100);
         }
-        rig.anew = 0;
-        rig
+        harness.full_reads = 0;
+        harness
     }
 
-    fn feed(&mut self, topic: Topic, event: ReadEvent) {
+    fn step(&mut self, topic: Topic, event: ReadEvent) {
         let wait = Duration::from_secs(2);
-        let news = *self.news.get(topic);
-        let around = ReaderContext {
+        let latest_change = *self.latest_change.get(topic);
+        let context = ReaderContext {
             watch_wait: wait,
             peers_in_contact: 5,
             is_shared: true,
-            latest_change: news,
+            latest_change,
             ..ReaderContext::default()
         };
         let mut effects = Vec::new();
-        self.readers.step(topic, self.now, around, event, &mut effects);
+        self.readers.step(topic, self.now, context, event, &mut effects);
         for effect in effects {
-            let asked = self.asked.get_mut(topic);
+            let pending = self.pending.get_mut(topic);
             match effect {
                 ReadEffect::Start(id, query) => {
-                    self.anew +=
+                    self.full_reads +=
                         u32::from(query.scope == Scope::Page { page_token: String::new() });
-                    asked.push((id, query.scope));
+                    pending.push((id, query.scope));
                 }
-                ReadEffect::Close { read, .. } => asked.retain(|(id, _)| *id != read),
-                ReadEffect::RevisionNotFound(revision) => self.disproved.push(revision),
+                ReadEffect::Close { read, .. } => pending.retain(|(id, _)| *id != read),
+                ReadEffect::RevisionNotFound(revision) => self.missing_revisions.push(revision),
                 ReadEffect::StoreLost | ReadEffect::Log(_) => {}
             }
         }
     }
 
     /// The newest question is answered.
-    fn came(&mut self, topic: Topic, era: Option<u64>, came: ReadOutcome) -> Option<u64> {
-        let (read, _) = self.asked.get_mut(topic).pop().expect("a question");
-        let counts = self.readers.accepted_era(topic, read, era);
-        self.feed(topic, ReadEvent::Ended { read, era, outcome: came });
-        counts
+    fn end_read(&mut self, topic: Topic, era: Option<u64>, outcome: ReadOutcome) -> Option<u64> {
+        let (read, _) = self.pending.get_mut(topic).pop().expect("a question");
+        let accepted_era = self.readers.accepted_era(topic, read, era);
+        self.step(topic, ReadEvent::Ended { read, era, outcome });
+        accepted_era
     }
 
     /// The same, with nothing that was not known. Returns the era in which the answer counts.
-    fn answer(&mut self, topic: Topic, era: Option<u64>, store: u64) -> Option<u64> {
-        self.came(
+    fn end_without_changes(
+        &mut self,
+        topic: Topic,
+        era: Option<u64>,
+        store_revision: u64,
+    ) -> Option<u64> {
+        self.end_read(
             topic,
             era,
-            ReadOutcome::Answer {
-                store_revision: store,
-                changed: false,
-                next_page: None,
-                bytes: 100,
-            },
+            ReadOutcome::Answer { store_revision, changed: false, next_page: None, bytes: 100 },
         )
     }
 
     /// A page of everything that isn't the last.
-    fn page(&mut self, topic: Topic, era: Option<u64>) -> Option<u64> {
+    fn end_with_page(&mut self, topic: Topic, era: Option<u64>) -> Option<u64> {
         let next = Some("servers/m".to_owned());
-        self.came(
+        self.end_read(
             topic,
             era,
             ReadOutcome::Answer { store_revision: 100, changed: true, next_page: next, bytes: 100 },
@@ -95,37 +95,37 @@
     }
 
     /// Lets time pass, and asks what is due.
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         for topic in Topic::ALL {
-            self.feed(topic, ReadEvent::Tick);
+            self.step(topic, ReadEvent::Tick);
         }
     }
 
     fn scope(&self, topic: Topic) -> Option<&Scope> {
-        self.asked.get(topic).last().map(|(_, scope)| scope)
+        self.pending.get(topic).last().map(|(_, scope)| scope)
     }
 }
 
-fn beginning() -> Scope {
+fn first_page() -> Scope {
     Scope::Page { page_token: String::new() }
 }
 
-const LIST: Topic = Topic::Endpoints;
+const ENDPOINTS: Topic = Topic::Endpoints;
 
 #[test]
-fn a_store_that_never_says_its_era_has_one() {
-    let mut rig = Rig::new(None);
-    assert_eq!(rig.answer(LIST, None, 120), Some(0));
-    assert!(matches!(rig.scope(LIST), Some(Scope::Changes { after: 120, .. })));
-    assert_eq!(rig.anew, 0);
+fn answers_without_an_era_are_accepted_as_era_zero() {
+    let mut harness = ReaderHarness::new(None);
+    assert_eq!(harness.end_without_changes(ENDPOINTS, None, 120), Some(0));
+    assert!(matches!(harness.scope(ENDPOINTS), Some(Scope::Changes { after: 120, .. })));
+    assert_eq!(harness.full_reads, 0);
 }
 
 #[test]
-fn an_answer_that_does_not_say_its_era_is_of_the_known_one() {
-    let mut rig = Rig::new(Some(3));
-    assert_eq!(rig.answer(LIST, None, 120), Some(3));
-    assert_eq!(rig.anew, 0);
+fn an_answer_without_an_era_belongs_to_the_known_era() {
+    let mut harness = ReaderHarness::new(Some(3));
+    assert_eq!(harness.end_without_changes(ENDPOINTS, None, 120), Some(3));
+    assert_eq!(harness.full_reads, 0);
 }
 
 /// Symptom: a change was never seen, though the store answered all the time.
@@ -133,105 +133,111 @@
 /// ends without any.
 /// Cause: the answer was taken for one that says that nothing has changed.
 #[test]
-fn a_watch_that_ends_in_a_new_era_brings_nothing_but_the_era() {
-    let mut rig = Rig::new(Some(1));
-    assert_eq!(rig.answer(LIST, Some(2), 100), None);
-    rig.pass(Duration::from_millis(600));
+fn a_watch_that_ends_in_a_new_era_starts_full_reads() {
+    let mut harness = ReaderHarness::new(Some(1));
+    assert_eq!(harness.end_without_changes(ENDPOINTS, Some(2), 100), None);
+    harness.advance(Duration::from_millis(600));
     assert_eq!(
-        (rig.scope(LIST), rig.scope(Topic::Routes)),
-        (Some(&beginning()), Some(&beginning()))
+        (harness.scope(ENDPOINTS), harness.scope(Topic::Routes)),
+        (Some(&first_page()), Some(&first_page()))
     );
-    assert_eq!(rig.answer(LIST, Some(2), 40), Some(2));
-    assert_eq!(rig.answer(Topic::Routes, Some(2), 40), Some(2));
-    assert_eq!(rig.anew, 2);
+    assert_eq!(harness.end_without_changes(ENDPOINTS, Some(2), 40), Some(2));
+    assert_eq!(harness.end_without_changes(Topic::Routes, Some(2), 40), Some(2));
+    assert_eq!(harness.full_reads, 2);
 }
 
 #[test]
-fn an_error_tells_the_era_too() {
-    let mut rig = Rig::new(Some(1));
-    rig.came(LIST, Some(2), ReadOutcome::Failed("status 503".to_owned()));
-    rig.pass(Duration::from_millis(1500));
-    assert_eq!(rig.scope(Topic::Routes), Some(&beginning()));
+fn an_error_response_reports_the_era() {
+    let mut harness = ReaderHarness::new(Some(1));
+    harness.end_read(ENDPOINTS, Some(2), ReadOutcome::Failed("status 503".to_owned()));
+    harness.advance(Duration::from_millis(1500));
+    assert_eq!(harness.scope(Topic::Routes), Some(&first_page()));
 }
 
 /// Symptom: an endpoint was missing from the list.
 /// Sequence: the store comes back from a copy between two pages.
 /// Cause: the pages were put together, though the second one is of another history.
 #[test]
-fn pages_of_two_eras_are_thrown_away() {
-    let mut rig = Rig::new(Some(1));
-    rig.came(LIST, Some(1), ReadOutcome::HistoryGone);
-    rig.pass(Duration::from_millis(600));
-    assert_eq!(rig.page(LIST, Some(1)), Some(1));
-    assert!(matches!(rig.scope(LIST), Some(Scope::Page { page_token: from }) if !from.is_empty()));
-    assert_eq!(rig.answer(LIST, Some(2), 100), None);
-    rig.pass(Duration::from_millis(600));
-    assert_eq!(rig.scope(LIST), Some(&beginning()));
+fn pages_of_two_eras_are_discarded() {
+    let mut harness = ReaderHarness::new(Some(1));
+    harness.end_read(ENDPOINTS, Some(1), ReadOutcome::HistoryGone);
+    harness.advance(Duration::from_millis(600));
+    assert_eq!(harness.end_with_page(ENDPOINTS, Some(1)), Some(1));
+    assert!(
+        matches!(harness.scope(ENDPOINTS), Some(Scope::Page { page_token }) if !page_token.is_empty())
+    );
+    assert_eq!(harness.end_without_changes(ENDPOINTS, Some(2), 100), None);
+    harness.advance(Duration::from_millis(600));
+    assert_eq!(harness.scope(ENDPOINTS), Some(&first_page()));
 }
 
 #[test]
-fn an_answer_of_an_older_era_is_not_taken_in() {
-    let mut rig = Rig::new(Some(5));
-    assert_eq!(rig.answer(LIST, Some(4), 990), None);
-    rig.pass(Duration::from_secs(1));
-    assert_eq!(rig.answer(LIST, Some(5), 130), Some(5));
-    assert_eq!(rig.anew, 0);
+fn an_answer_of_an_older_era_is_rejected() {
+    let mut harness = ReaderHarness::new(Some(5));
+    assert_eq!(harness.end_without_changes(ENDPOINTS, Some(4), 990), None);
+    harness.advance(Duration::from_secs(1));
+    assert_eq!(harness.end_without_changes(ENDPOINTS, Some(5), 130), Some(5));
+    assert_eq!(harness.full_reads, 0);
 }
 
 /// Symptom: a daemon never read the store again.
 /// Sequence: the header of one answer is damaged, and names an era that is far ahead.
 /// Cause: all answers since then are of an older one.
 #[test]
-fn an_era_that_stays_older_is_believed_after_a_while() {
-    let mut rig = Rig::new(Some(1));
-    rig.answer(LIST, Some(999), 100);
-    let mut counted = None;
+fn an_older_era_is_accepted_after_a_timeout() {
+    let mut harness = ReaderHarness::new(Some(1));
+    harness.end_without_changes(ENDPOINTS, Some(999), 100);
+    let mut accepted = None;
     for _ in 0..40 {
-        rig.pass(Duration::from_millis(800));
-        if rig.scope(LIST).is_some() {
-            counted = rig.answer(LIST, Some(1), 140);
+        harness.advance(Duration::from_millis(800));
+        if harness.scope(ENDPOINTS).is_some() {
+            accepted = harness.end_without_changes(ENDPOINTS, Some(1), 140);
         }
-        if rig.scope(Topic::Routes).is_some() {
-            rig.answer(Topic::Routes, Some(1), 140);
+        if harness.scope(Topic::Routes).is_some() {
+            harness.end_without_changes(Topic::Routes, Some(1), 140);
         }
     }
-    assert_eq!(counted, Some(1));
+    assert_eq!(accepted, Some(1));
 }
 
 /// Symptom: one daemon read everything again with each answer.
 /// Sequence: its answers come from two stores by turns, one of which has fallen behind.
 /// Cause: each change of the era was taken for a return from a copy.
 #[test]
-fn eras_that_go_to_and_fro_do_not_make_a_daemon_read_everything_each_time() {
-    let mut rig = Rig::new(Some(4));
-    let mut random = 1_u64;
-    let mut read = 0;
+fn alternating_eras_do_not_cause_a_full_read_each_time() {
+    let mut harness = ReaderHarness::new(Some(4));
+    let mut random_state = 1_u64;
+    let mut full_reads = 0;
     for _ in 0..400 {
-        rig.pass(Duration::from_millis(100));
+        harness.advance(Duration::from_millis(100));
         for topic in Topic::ALL {
-            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            let anew = rig.scope(topic) == Some(&beginning());
-            if rig.scope(topic).is_some()
-                && rig.answer(topic, Some(4 + (random >> 63)), 140).is_some()
+            random_state = random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            let is_full_read = harness.scope(topic) == Some(&first_page());
+            if harness.scope(topic).is_some()
+                && harness.end_without_changes(topic, Some(4 + (random_state >> 63)), 140).is_some()
             {
-                read += u32::from(anew);
+                full_reads += u32::from(is_full_read);
             }
         }
     }
-    assert!((2..=4).contains(&read), "everything was read {read} times in 40 s");
+    assert!((2..=4).contains(&full_reads), "everything was read {full_reads} times in 40 s");
 }
 
 #[test]
-fn a_peer_s_false_word_of_an_era_costs_one_question() {
-    let mut rig = Rig::new(Some(1));
-    let word = Revision { era: 2, number: 7 };
-    *rig.news.get_mut(LIST) = word;
-    rig.pass(Duration::from_millis(1));
-    rig.pass(Duration::from_millis(400));
-    assert!(matches!(rig.scope(LIST), Some(Scope::Changes { after: 100, wait }) if wait.is_zero()));
-    rig.answer(LIST, Some(1), 100);
-    assert_eq!(rig.disproved, [word]);
-    rig.pass(Duration::from_millis(100));
-    assert!(matches!(rig.scope(LIST), Some(Scope::Changes { wait, .. }) if !wait.is_zero()));
-    assert_eq!(rig.anew, 0);
+fn a_false_report_of_an_era_costs_one_read() {
+    let mut harness = ReaderHarness::new(Some(1));
+    let reported = Revision { era: 2, number: 7 };
+    *harness.latest_change.get_mut(ENDPOINTS) = reported;
+    harness.advance(Duration::from_millis(1));
+    harness.advance(Duration::from_millis(400));
+    assert!(
+        matches!(harness.scope(ENDPOINTS), Some(Scope::Changes { after: 100, wait }) if wait.is_zero())
+    );
+    harness.end_without_changes(ENDPOINTS, Some(1), 100);
+    assert_eq!(harness.missing_revisions, [reported]);
+    harness.advance(Duration::from_millis(100));
+    assert!(
+        matches!(harness.scope(ENDPOINTS), Some(Scope::Changes { wait, .. }) if !wait.is_zero())
+    );
+    assert_eq!(harness.full_reads, 0);
 }
--- a/crates/basilbank_forward/tests/reading/main.rs
+++ b/crates/basilbank_forward/tests/reading/main.rs
@@ -2,12 +2,12 @@
 //! other. Whatever comes, what is confirmed is in force in time from the moment on at which a daemon
 //! reaches a store that answers, and questions stay few.
 
-mod calls;
 mod daemon;
 mod eras;
 mod explore;
 mod fleet;
-mod plan;
 mod random;
+mod read_counts;
 mod regressions;
+mod scenario;
 mod store;
--- a/crates/basilbank_forward/tests/reading/random.rs
+++ b/crates/basilbank_forward/tests/reading/random.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     fleet::Fleet,
-    plan::{Plan, Turn},
-    store::{SLOW, Way},
+    scenario::{Scenario, Transition},
+    store::{StoreCondition, TOLERATED_DELAY_MS},
 };
 
 /// The same cases each time; the variable asks for others by hand.
@@ -23,54 +23,55 @@
     }
 }
 
-fn way() -> impl Strategy<Value = Way> {
+fn condition() -> impl Strategy<Value = StoreCondition> {
     prop_oneof![
-        4 => Just(Way::Sound),
-        2 => Just(Way::Silent),
-        2 => Just(Way::Cut),
-        2 => Just(Way::Refused),
-        1 => Just(Way::Slow(SLOW)),
+        4 => Just(StoreCondition::Healthy),
+        2 => Just(StoreCondition::Unresponsive),
+        2 => Just(StoreCondition::Unreachable),
+        2 => Just(StoreCondition::Refusing),
+        1 => Just(StoreCondition::Slow(TOLERATED_DELAY_MS)),
         // Answers of a slower store are under way for most of the bound.
-        1 => (300_u16..1500).prop_map(Way::Slow),
-        1 => Just(Way::Renewed),
-        1 => Just(Way::Compacted),
-        1 => (0_u16..6000).prop_map(Way::Restored),
+        1 => (300_u16..1500).prop_map(StoreCondition::Slow),
+        1 => Just(StoreCondition::ConnectionsDropped),
+        1 => Just(StoreCondition::Compacted),
+        1 => (0_u16..6000).prop_map(StoreCondition::Restored),
     ]
 }
 
-fn turns() -> impl Strategy<Value = Vec<Turn>> {
-    turns_of(3)
+fn transitions() -> impl Strategy<Value = Vec<Transition>> {
+    transitions_of(3)
 }
 
 /// Turns of the ways of so many daemons.
-fn turns_of(daemons: usize) -> impl Strategy<Value = Vec<Turn>> {
-    let one = (10_u64..3000, proptest::option::of(0..daemons), way());
-    proptest::collection::vec(one, 1..14).prop_map(|turns| {
+fn transitions_of(daemons: usize) -> impl Strategy<Value = Vec<Transition>> {
+    let transition = (10_u64..3000, proptest::option::of(0..daemons), condition());
+    proptest::collection::vec(transition, 1..14).prop_map(|transitions| {
         let mut at = Duration::from_secs(2);
-        let turns = turns.into_iter().map(|(pause, daemon, way)| {
+        let transitions = transitions.into_iter().map(|(pause, daemon, condition)| {
             at += Duration::from_millis(pause);
-            Turn { at, daemon, way }
+            Transition { at, daemon, condition }
         });
-        turns.collect()
+        transitions.collect()
     })
 }
 
-fn plan(
+fn scenario(
     daemons: impl Strategy<Value = usize>,
-    turns: impl Strategy<Value = Vec<Turn>>,
-) -> impl Strategy<Value = Plan> {
-    let list = proptest::option::of(300_u64..3000);
-    (daemons, turns, 100_u64..4000, list, any::<u64>()).prop_map(
-        |(daemons, turns, versions, list, seed)| {
-            let last = turns.last().map_or(Duration::ZERO, |turn| turn.at);
-            Plan {
+    transitions: impl Strategy<Value = Vec<Transition>>,
+) -> impl Strategy<Value = Scenario> {
+    let endpoints_interval = proptest::option::of(300_u64..3000);
+    (daemons, transitions, 100_u64..4000, endpoints_interval, any::<u64>()).prop_map(
+        |(daemons, transitions, routes_interval, endpoints_interval, seed)| {
+            let last_change_at =
+                transitions.last().map_or(Duration::ZERO, |transition| transition.at);
+            Scenario {
                 daemons,
                 watchers: 0,
-                silent: false,
-                turns,
-                versions: Duration::from_millis(versions),
-                list: list.map(Duration::from_millis),
-                end: last + Duration::from_secs(8),
+                omits_era: false,
+                transitions,
+                routes_interval: Duration::from_millis(routes_interval),
+                endpoints_interval: endpoints_interval.map(Duration::from_millis),
+                end: last_change_at + Duration::from_secs(8),
                 seed,
             }
         },
@@ -79,18 +80,22 @@
 
 /// Some spells in which one daemon loses answers. When all lose the one about the same change, nobody is
 /// there to tell, and the configuration's watch goes on to its end: that is not bounded here.
-fn lossy() -> impl Strategy<Value = Vec<Turn>> {
-    let one = (10_u64..3000, 10_u64..3000);
-    proptest::collection::vec(one, 1..6).prop_map(|spells| {
+fn answer_losses() -> impl Strategy<Value = Vec<Transition>> {
+    let transition = (10_u64..3000, 10_u64..3000);
+    proptest::collection::vec(transition, 1..6).prop_map(|periods| {
         let mut at = Duration::from_secs(2);
-        let mut turns = Vec::new();
-        for (pause, time) in spells {
+        let mut transitions = Vec::new();
+        for (pause, time) in periods {
             at += Duration::from_millis(pause);
-            turns.push(Turn { at, daemon: Some(0), way: Way::Lossy });
+            transitions.push(Transition { at, daemon: Some(0), condition: StoreCondition::Lossy });
             at += Duration::from_millis(time);
-            turns.push(Turn { at, daemon: Some(0), way: Way::Sound });
+            transitions.push(Transition {
+                at,
+                daemon: Some(0),
+                condition: StoreCondition::Healthy,
+            });
         }
-        turns
+        transitions
     })
 }
 
@@ -98,23 +103,23 @@
     #![proptest_config(config())]
 
     #[test]
-    fn what_is_confirmed_is_in_force_in_time_after_any_failures(plan in plan(1_usize..=3, turns())) {
-        let played = Fleet::new(plan).play();
-        prop_assert!(played.is_ok(), "{}", played.unwrap_err());
+    fn confirmed_changes_are_in_force_in_time_after_random_failures(scenario in scenario(1_usize..=3, transitions())) {
+        let result = Fleet::new(scenario).run();
+        prop_assert!(result.is_ok(), "{}", result.unwrap_err());
     }
 
     /// Four daemons watch, and two rest on their word.
     #[test]
-    fn what_is_confirmed_is_in_force_in_time_at_daemons_that_rest_on_others(
-        plan in plan(Just(6_usize), turns_of(6)),
+    fn confirmed_changes_are_in_force_in_time_at_followers(
+        scenario in scenario(Just(6_usize), transitions_of(6)),
     ) {
-        let played = Fleet::new(Plan { watchers: 4, ..plan }).play();
-        prop_assert!(played.is_ok(), "{}", played.unwrap_err());
+        let result = Fleet::new(Scenario { watchers: 4, ..scenario }).run();
+        prop_assert!(result.is_ok(), "{}", result.unwrap_err());
     }
 
     #[test]
-    fn an_answer_that_one_daemon_loses_is_noticed_in_time(plan in plan(2_usize..=3, lossy())) {
-        let played = Fleet::new(plan).play();
-        prop_assert!(played.is_ok(), "{}", played.unwrap_err());
+    fn confirmed_changes_are_in_force_in_time_after_lost_answers(scenario in scenario(2_usize..=3, answer_losses())) {
+        let result = Fleet::new(scenario).run();
+        prop_assert!(result.is_ok(), "{}", result.unwrap_err());
     }
 }
