--- a/crates/basilbank_forward/tests/reading/daemon.rs
+++ b/crates/basilbank_forward/tests/reading/daemon.rs
@@ -1,4 +1,5 @@
-//! A daemon's readers, and how its way to the store changes.
+//! A simulated daemon: its readers, its connections to the store and the condition in which it finds
+//! the store.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -9,65 +10,67 @@
 
 use crate::store::{StoreCondition, TOLERATED_DELAY_MS};
 
-/// How long daemons may take besides to notice that connections died without a sign, over which answers
-/// are waited for. The operators count a daemon in touch again three seconds after that.
+/// Additional time that a daemon may take to detect that connections with pending reads died without
+/// an error. Operators count a daemon as in contact again three seconds later.
 const DETECTION_ALLOWANCE: Duration = Duration::from_secs(1);
 
-/// A spell that lasts as long shows: the list's watch and its margin are over.
+/// Time after which a daemon detects an outage: by then the watch of the list and the margin for its
+/// answer are over.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// A daemon: its readers, and its way to the store.
+/// A simulated daemon.
 #[derive(Debug, Default)]
 pub struct Daemon {
     pub readers: Readers,
     pub condition: StoreCondition,
-    /// Connections that stood have died then.
+    /// Time at which the open connections last died.
     pub connections_died_at: Duration,
-    /// The store answers since then.
+    /// Time since which the store answers this daemon. Update delays count from here.
     pub answers_since: Duration,
     pub pending: BTreeMap<(Topic, ReadId), PendingRead>,
-    /// The version of each topic in force.
+    /// Version of each topic that is in force.
     pub in_force: PerTopic<u64>,
     pub latest_change: PerTopic<Revision>,
-    /// The era in which each topic was read last.
+    /// Era of the last accepted answer of each topic.
     pub last_era: PerTopic<u64>,
     pub read_times: VecDeque<Duration>,
     pub answer_count: u64,
-    /// The list can't be read.
+    /// Whether the list of endpoints can't be read.
     pub endpoints_lost: bool,
-    /// What daemons that watch said last: when, and whether the store answers them.
+    /// Last report of each peer: when it came, and whether the store answers that peer as a watcher.
     pub watcher_reports: BTreeMap<usize, (Duration, bool)>,
-    /// How often one of them said that it doesn't any more.
+    /// Number of times that a watcher reported that it lost the store.
     pub watcher_losses: u32,
-    /// The connection that each topic keeps for its next question.
+    /// Connection that each topic keeps for its next read.
     pub idle_connections: PerTopic<IdleConnection>,
 }
 
-/// A connection over which an answer came whole.
+/// State of a connection that is kept open after a complete answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum IdleConnection {
     #[default]
     None,
     Live,
-    /// It has died, and shows no sign of it.
+    /// The connection has died without an error, so the daemon still uses it.
     Dead,
 }
 
-/// A question that is open.
+/// A read that has not ended yet.
 #[derive(Clone, Debug)]
 pub struct PendingRead {
     pub started_at: Duration,
     pub scope: Scope,
-    /// Its connection is dead.
+    /// Whether the connection is dead, so that no answer can arrive.
     pub connection_dead: bool,
     pub outcome: Option<ReadOutcome>,
-    /// The store's era, and the version that it held, when the answer left.
+    /// Era that the answer reports.
     pub era: Option<u64>,
+    /// Version that the store held when it sent the answer.
     pub version: u64,
 }
 
 impl Daemon {
-    /// Its way to the store changes. Returns the questions that fail by it.
+    /// Changes the condition of the store for this daemon. Returns the pending reads that fail at once.
     pub fn set_condition(
         &mut self,
         condition: StoreCondition,
@@ -98,7 +101,8 @@
         failed
     }
 
-    /// Until then it may take the store's silence for nothing new, and so may those that rest on its word.
+    /// Returns the time until which this daemon may mistake dead connections for a store without
+    /// changes. Until then its followers may be late, too.
     pub fn outage_detected_by(&self) -> Duration {
         if self.connections_died_at.is_zero() {
             Duration::ZERO
@@ -107,14 +111,14 @@
         }
     }
 
-    /// From when on the store answers.
+    /// Updates the times at which connections died and since which the store answers.
     fn update_answers_since(&mut self, condition: StoreCondition, now: Duration) {
         if condition.kills_connections()
             && (self.condition.answers_in_time() || !self.condition.kills_connections())
         {
             self.connections_died_at = now;
         }
-        // Those whose answers were lost go on waiting for them, and slow ones are still on their way.
+        // Reads whose answers were lost still wait for them, and slow answers are still on their way.
         let loss_undetected = self.condition == StoreCondition::Lossy
             || condition == StoreCondition::ConnectionsDropped
             || matches!(self.condition, StoreCondition::Slow(ms) if ms != TOLERATED_DELAY_MS)
--- a/crates/basilbank_forward/tests/reading/eras.rs
+++ b/crates/basilbank_forward/tests/reading/eras.rs
@@ -1,23 +1,23 @@
-//! What an answer's era means to a daemon's readers: one that is missing, newer, older, or goes to and fro.
+//! How a daemon's readers handle the era of an answer: missing, newer, older or alternating.
 
 use std::time::Duration;
 
 use basilbank_forward::prelude::*;
 
-/// A daemon's readers, fed by hand.
+/// Drives a daemon's readers by hand.
 struct ReaderHarness {
     readers: Readers,
     now: Duration,
     latest_change: PerTopic<Revision>,
-    /// Questions of the configuration and of the list that are open, the newest last.
+    /// Pending reads of each topic, the newest last.
     pending: PerTopic<Vec<(ReadId, Scope)>>,
-    /// Questions for the beginning of everything.
+    /// Number of full reads that were started.
     full_reads: u32,
     missing_revisions: Vec<Revision>,
 }
 
 impl ReaderHarness {
-    /// Both topics were read in this era, and are watched.
+    /// Returns readers that have read both topics in this era and watch them.
     fn new(era: Option<u64>) -> ReaderHarness {
         let mut harness = ReaderHarness {
             readers: Readers::default(),
@@ -62,15 +62,17 @@
         }
     }
 
-    /// The newest question is answered.
+    /// Ends the newest read. Returns the era in which the answer is accepted, or `None` if it is
+    /// rejected.
     fn end_read(&mut self, topic: Topic, era: Option<u64>, outcome: ReadOutcome) -> Option<u64> {
-        let (read, _) = self.pending.get_mut(topic).pop().expect("a question");
+        let (read, _) = self.pending.get_mut(topic).pop().expect("a pending read");
         let accepted_era = self.readers.accepted_era(topic, read, era);
         self.step(topic, ReadEvent::Ended { read, era, outcome });
         accepted_era
     }
 
-    /// The same, with nothing that was not known. Returns the era in which the answer counts.
+    /// Ends the newest read with an answer without changes. Returns the era in which the answer is
+    /// accepted.
     fn end_without_changes(
         &mut self,
         topic: Topic,
@@ -84,7 +86,8 @@
         )
     }
 
-    /// A page of everything that isn't the last.
+    /// Ends the newest read with a page of a full read that isn't the last one. Returns the era in
+    /// which the page is accepted.
     fn end_with_page(&mut self, topic: Topic, era: Option<u64>) -> Option<u64> {
         let next = Some("servers/m".to_owned());
         self.end_read(
@@ -94,7 +97,7 @@
         )
     }
 
-    /// Lets time pass, and asks what is due.
+    /// Advances the time and lets the readers start the reads that are due.
     fn advance(&mut self, time: Duration) {
         self.now += time;
         for topic in Topic::ALL {
@@ -129,9 +132,9 @@
 }
 
 /// Symptom: a change was never seen, though the store answered all the time.
-/// Sequence: the store comes back from a copy; a watch for changes after a number that it gives out again
-/// ends without any.
-/// Cause: the answer was taken for one that says that nothing has changed.
+/// Sequence: the store is restored from a backup and assigns revisions again; a watch for changes after
+/// one of these revisions ends without changes.
+/// Cause: the reader took the answer to mean that nothing had changed.
 #[test]
 fn a_watch_that_ends_in_a_new_era_starts_full_reads() {
     let mut harness = ReaderHarness::new(Some(1));
@@ -155,8 +158,8 @@
 }
 
 /// Symptom: an endpoint was missing from the list.
-/// Sequence: the store comes back from a copy between two pages.
-/// Cause: the pages were put together, though the second one is of another history.
+/// Sequence: the store is restored from a backup between two pages of a full read.
+/// Cause: the reader combined the pages, though the second one belongs to another history.
 #[test]
 fn pages_of_two_eras_are_discarded() {
     let mut harness = ReaderHarness::new(Some(1));
@@ -181,8 +184,8 @@
 }
 
 /// Symptom: a daemon never read the store again.
-/// Sequence: the header of one answer is damaged, and names an era that is far ahead.
-/// Cause: all answers since then are of an older one.
+/// Sequence: the header of one answer is corrupted and reports an era that is far ahead.
+/// Cause: all later answers report an older era and were rejected.
 #[test]
 fn an_older_era_is_accepted_after_a_timeout() {
     let mut harness = ReaderHarness::new(Some(1));
@@ -200,9 +203,9 @@
     assert_eq!(accepted, Some(1));
 }
 
-/// Symptom: one daemon read everything again with each answer.
-/// Sequence: its answers come from two stores by turns, one of which has fallen behind.
-/// Cause: each change of the era was taken for a return from a copy.
+/// Symptom: a daemon started a full read with each answer.
+/// Sequence: its answers come alternately from two stores, one of which lags behind.
+/// Cause: the reader took each change of the era for a restore from a backup.
 #[test]
 fn alternating_eras_do_not_cause_a_full_read_each_time() {
     let mut harness = ReaderHarness::new(Some(4));
@@ -220,7 +223,7 @@
             }
         }
     }
-    assert!((2..=4).contains(&full_reads), "everything was read {full_reads} times in 40 s");
+    assert!((2..=4).contains(&full_reads), "{full_reads} full reads in 40 s");
 }
 
 #[test]
--- a/crates/basilbank_forward/tests/reading/explore.rs
+++ b/crates/basilbank_forward/tests/reading/explore.rs
@@ -1,4 +1,4 @@
-//! All short sequences of ways in which the store fails.
+//! Runs all short sequences of store failures.
 #![expect(clippy::print_stdout, reason = "the figures are for runs by hand")]
 
 use std::time::Duration;
@@ -20,14 +20,16 @@
     StoreCondition::Restored(1700),
 ];
 
-/// How long each lasts: shorter than any limit, between two looks, longer than a watch, longer than a
-/// question is left open.
+/// Durations of a failure, in milliseconds: shorter than any timeout, between two polls, longer than a
+/// watch, and longer than the timeout of a read.
 const DURATIONS_MS: [u64; 4] = [150, 900, 2300, 5300];
 
-/// The first way fails at each of these, so that it meets the readers in all their states.
+/// Times of the first failure, in milliseconds. They differ so that it hits the readers in each of
+/// their states.
 const START_TIMES_MS: [u64; 3] = [3000, 3250, 3500];
 
-/// Plays all sequences of this length, the shorter ones first. The variable makes it longer by hand.
+/// Runs all sequences of up to two failures, the shorter ones first. `READING_STEPS` sets another
+/// maximum length.
 #[test]
 fn confirmed_changes_are_in_force_in_time_after_any_short_sequence_of_failures() {
     let max_steps = std::env::var("READING_STEPS").ok().and_then(|steps| steps.parse().ok());
@@ -47,8 +49,8 @@
         }
     }
     let mean_delay = delay_sum / runs;
-    println!("{runs} plays, {read_count} questions; the latest version of each play");
-    println!("was {mean_delay:?} late on average, at worst {max_delay:?}");
+    println!("{runs} runs, {read_count} reads; maximum update delay of a run:");
+    println!("{mean_delay:?} on average, {max_delay:?} at most");
 }
 
 fn scenarios(steps: u32) -> impl Iterator<Item = Scenario> {
--- a/crates/basilbank_forward/tests/reading/fleet.rs
+++ b/crates/basilbank_forward/tests/reading/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons' readers in virtual time, the store, and the words between daemons.
+//! Simulates daemons' readers, the store and the gossip between daemons in virtual time.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -10,38 +10,38 @@
     store::{ROUND_TRIP, Store, StoreCondition},
 };
 
-/// How long after its confirmation, or after the store's return, a version may take: the operators'
-/// bound.
+/// Maximum time from a change's confirmation, or from when the store answers again, until the change is
+/// in force. It is the bound that operators are promised.
 pub const MAX_UPDATE_DELAY: Duration = Duration::from_secs(2);
 
-/// Most questions of a daemon in a second: 320 daemons share 6,000.
+/// Maximum number of reads of a daemon in a second: 320 daemons share 6,000.
 const MAX_READS_PER_SECOND: usize = 18;
 
-/// What a daemon's word to another takes.
+/// Time that a gossip message takes.
 const GOSSIP_DELAY: Duration = Duration::from_millis(20);
 
-/// How long after the store's return from a copy the operator writes again; endpoints take twice as long.
+/// Time after a restore until the operator writes the configuration again; endpoints take twice as long.
 const REWRITE_DELAY: Duration = Duration::from_millis(600);
 
-/// Daemons that have to watch so that others rest on their word.
+/// Minimum number of watchers that a follower needs.
 const MIN_WATCHERS: usize = 2;
 
-/// How old their word may be.
+/// Maximum age of a watcher's report.
 const MAX_WATCHER_REPORT_AGE: Duration = Duration::from_millis(1700);
 
-/// How often a daemon says what it has.
+/// Interval at which a daemon gossips the revisions that it has seen.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What happens next.
+/// A scheduled event of the simulation.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum Event {
     Transition(usize),
     ChangeRoutes,
     ChangeEndpoints,
     Wake(usize, Topic),
-    /// The answer to a question leaves the store, which waited so long for a change.
+    /// The store sends the answer to a read, if a change has come or the read's wait is over.
     SendAnswer(usize, Topic, ReadId),
-    /// It arrives.
+    /// The answer or the error reaches the daemon.
     ReceiveAnswer(usize, Topic, ReadId),
     SendGossip(usize),
     ReceiveGossip {
@@ -50,12 +50,12 @@
         sees_store: bool,
         changes: (Revision, Revision),
     },
-    /// What was lost is written again.
+    /// A version that a restore has lost is written again.
     Rewrite(Topic),
     Check,
 }
 
-/// All of it.
+/// A simulated fleet with its store.
 pub struct Fleet {
     scenario: Scenario,
     now: Duration,
@@ -64,15 +64,17 @@
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     event_count: u64,
     random_state: u64,
-    /// Last time at which all daemons that watch, and see the store, were slow.
+    /// Last time at which a watcher that can read the list had slow answers and no watcher was answered in
+    /// time.
     watchers_slow_at: Duration,
-    /// What happened that must not.
+    /// Violation of an invariant that has not been returned yet.
     violation: Option<String>,
-    /// Longest time from a version's confirmation, or the store's return, until it was in force.
+    /// Longest time from a change's confirmation, or from when the store answered again, until the change
+    /// was in force.
     pub max_delay: Duration,
-    /// Questions that were asked.
+    /// Number of reads that were started.
     pub read_count: u32,
-    /// What was asked and answered.
+    /// Log of transitions, reads and answers, shown when a run fails.
     pub trace: Vec<String>,
 }
 
@@ -113,10 +115,10 @@
         fleet
     }
 
-    /// Plays the plan.
+    /// Runs the scenario.
     ///
     /// # Errors
-    /// What was not as it has to be, and the way there.
+    /// Returns the invariant that was violated, and the trace up to then.
     pub fn run(&mut self) -> Result<(), String> {
         self.run_events()
             .map_err(|error| format!("{error}\n{}\n{:?}", self.trace.join("\n"), self.scenario))
@@ -192,7 +194,7 @@
         self.wake_watches(topic);
     }
 
-    /// The operator, or an endpoint, writes again what it had written.
+    /// Writes a topic's newest version again, as the operator or an endpoint does, if a restore has lost it.
     fn rewrite(&mut self, topic: Topic) {
         if self.store.stored_version(topic) < *self.store.latest_versions.get(topic) {
             self.store.write_latest(topic, self.now);
@@ -209,7 +211,7 @@
         }
     }
 
-    /// A question is asked.
+    /// Starts a read.
     fn start_read(&mut self, n: usize, topic: Topic, id: ReadId, query: Query) {
         let condition = self.daemons[n].condition;
         let connection = std::mem::take(self.daemons[n].idle_connections.get_mut(topic));
@@ -243,14 +245,14 @@
                 self.schedule_after(ROUND_TRIP / 2 + wait, Event::SendAnswer(n, topic, id));
             }
         }
-        self.record(n, topic, format_args!("{} asks {:?}", id.0, read.scope));
+        self.record(n, topic, format_args!("{} reads {:?}", id.0, read.scope));
         let daemon = &mut self.daemons[n];
         daemon.pending.insert((topic, id), read);
         daemon.read_times.push_back(self.now);
         self.read_count += 1;
     }
 
-    /// The store answers a question, unless it has to wait for a change.
+    /// Sends the store's answer to a read, unless the read still has to wait for a change.
     fn send_answer(&mut self, n: usize, topic: Topic, id: ReadId) {
         let daemon = &mut self.daemons[n];
         let Some(read) = daemon.pending.get_mut(&(topic, id)) else { return };
@@ -284,8 +286,8 @@
         if read.connection_dead && !failed {
             return;
         }
-        let read = daemon.pending.remove(&(topic, id)).expect("it is there");
-        let outcome = read.outcome.expect("an answer");
+        let read = daemon.pending.remove(&(topic, id)).expect("the read is pending");
+        let outcome = read.outcome.expect("a received read has an outcome");
         if !matches!(outcome, ReadOutcome::Failed(_)) {
             *daemon.idle_connections.get_mut(topic) = IdleConnection::Live;
         }
@@ -298,7 +300,7 @@
                 let in_force = daemon.in_force.get_mut(topic);
                 *in_force = read.version.max(*in_force);
             }
-            // It may have changed since the answer left.
+            // The topic may have changed since the answer was sent.
             let read_revision =
                 Revision { era, number: self.store.last_change_revision(topic).min(*store) };
             let has_news = *changed || *daemon.last_era.get(topic) != era;
@@ -309,7 +311,7 @@
                 self.send_gossip(n);
             }
         }
-        self.record(n, topic, format_args!("{} came {:?} {outcome:?}", id.0, read.era));
+        self.record(n, topic, format_args!("{} ended {:?} {outcome:?}", id.0, read.era));
         self.step_reader(n, topic, ReadEvent::Ended { read: id, era: read.era, outcome });
     }
 
@@ -384,7 +386,7 @@
                     self.daemons[n].pending.remove(&(topic, read));
                 }
                 ReadEffect::RevisionNotFound(revision) => {
-                    self.violation = Some(format!("revision {revision} was disproved"));
+                    self.violation = Some(format!("revision {revision} was not found"));
                 }
                 ReadEffect::Log(note) => self.record(n, topic, format_args!("{}", note.name)),
                 ReadEffect::StoreLost if topic == Topic::Endpoints => {
@@ -403,7 +405,7 @@
         }
     }
 
-    /// Enough daemons watch for this one.
+    /// Returns whether a daemon follows others, which needs enough watchers that see the store.
     fn is_follower(&self, n: usize) -> bool {
         let now = self.now;
         let sees_store = |(at, sees_store): &&(Duration, bool)| {
@@ -414,7 +416,8 @@
         has_enough_watchers && self.scenario.watchers <= n
     }
 
-    /// As the daemon's own rule: longer with peers, each time another.
+    /// Returns the time that the next watch waits, by the daemon's own rule: longer with more peers, and
+    /// randomized.
     fn next_watch_wait(&mut self, n: usize) -> Duration {
         let has_followers = self.scenario.watchers != 0;
         let daemons = match (has_followers, n < self.scenario.watchers) {
@@ -432,7 +435,7 @@
         if let Some(violation) = self.violation.take() {
             return Err(violation);
         }
-        // Whoever rests is as late as those that watch: where their answers are slow, nobody is quick.
+        // A follower is as late as the watchers: if their answers are slow, followers can't be faster.
         let watchers = &self.daemons[..self.scenario.watchers];
         let slow = |d: &Daemon| matches!(d.condition, StoreCondition::Slow(_)) && !d.endpoints_lost;
         if watchers.iter().any(slow) && !watchers.iter().any(|d| d.condition.answers_in_time()) {
@@ -447,10 +450,7 @@
                 daemon.read_times.pop_front();
             }
             if MAX_READS_PER_SECOND < daemon.read_times.len() {
-                return Err(format!(
-                    "daemon {n}: {} questions in a second",
-                    daemon.read_times.len()
-                ));
+                return Err(format!("daemon {n}: {} reads in a second", daemon.read_times.len()));
             }
             if !daemon.condition.answers_in_time() {
                 continue;
@@ -462,7 +462,7 @@
                 daemon.answers_since
             };
             for topic in Topic::ALL {
-                // How late the oldest version is that should be in force.
+                // Delay of the oldest change that should be in force.
                 let in_force = *daemon.in_force.get(topic);
                 let missing_since = store.first_change_after(topic, in_force);
                 let delay =
@@ -470,7 +470,7 @@
                 self.max_delay = self.max_delay.max(delay);
                 if MAX_UPDATE_DELAY < delay {
                     return Err(format!(
-                        "daemon {n} at {now:?}: {in_force} of {} in force, the store holds {}, it answers since {since:?}",
+                        "daemon {n} at {now:?}: version {in_force} of {} is in force, the store holds {}, it has answered since {since:?}",
                         topic.as_str(),
                         store.stored_version(topic),
                     ));
--- a/crates/basilbank_forward/tests/reading/main.rs
+++ b/crates/basilbank_forward/tests/reading/main.rs
@@ -1,6 +1,6 @@
-//! The readers of the store, explored: some daemons before a store that fails in all ways, one after the
-//! other. Whatever comes, what is confirmed is in force in time from the moment on at which a daemon
-//! reaches a store that answers, and questions stay few.
+//! Tests of the readers of the store. Simulated daemons read from a store that fails in different ways,
+//! one after the other. Confirmed changes have to be in force in time once the store answers a daemon,
+//! and the number of reads has to stay bounded.
 
 mod daemon;
 mod eras;
--- a/crates/basilbank_forward/tests/reading/random.rs
+++ b/crates/basilbank_forward/tests/reading/random.rs
@@ -1,4 +1,4 @@
-//! Long random sequences of failures, of single daemons and of all, with lists that change or don't.
+//! Long random sequences of failures that affect one daemon or all, with and without changes of the list.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
     store::{StoreCondition, TOLERATED_DELAY_MS},
 };
 
-/// The same cases each time; the variable asks for others by hand.
+/// Returns a configuration that runs the same cases each time. `READING_SEED` and `READING_CASES` set
+/// another seed and number of cases.
 fn config() -> ProptestConfig {
     let seed = std::env::var("READING_SEED").ok().and_then(|seed| seed.parse().ok());
     let cases = std::env::var("READING_CASES").ok().and_then(|cases| cases.parse().ok());
@@ -30,7 +31,7 @@
         2 => Just(StoreCondition::Unreachable),
         2 => Just(StoreCondition::Refusing),
         1 => Just(StoreCondition::Slow(TOLERATED_DELAY_MS)),
-        // Answers of a slower store are under way for most of the bound.
+        // With a longer delay, an answer would take most of `MAX_UPDATE_DELAY`.
         1 => (300_u16..1500).prop_map(StoreCondition::Slow),
         1 => Just(StoreCondition::ConnectionsDropped),
         1 => Just(StoreCondition::Compacted),
@@ -42,7 +43,7 @@
     transitions_of(3)
 }
 
-/// Turns of the ways of so many daemons.
+/// Generates transitions for this number of daemons.
 fn transitions_of(daemons: usize) -> impl Strategy<Value = Vec<Transition>> {
     let transition = (10_u64..3000, proptest::option::of(0..daemons), condition());
     proptest::collection::vec(transition, 1..14).prop_map(|transitions| {
@@ -78,8 +79,9 @@
     )
 }
 
-/// Some spells in which one daemon loses answers. When all lose the one about the same change, nobody is
-/// there to tell, and the configuration's watch goes on to its end: that is not bounded here.
+/// Generates periods in which one daemon loses answers. If all daemons lost the answer about the same
+/// change, no peer could report it, and the configuration's watch would last to its end: the delay of
+/// that case is not bounded here.
 fn answer_losses() -> impl Strategy<Value = Vec<Transition>> {
     let transition = (10_u64..3000, 10_u64..3000);
     proptest::collection::vec(transition, 1..6).prop_map(|periods| {
@@ -103,12 +105,14 @@
     #![proptest_config(config())]
 
     #[test]
-    fn confirmed_changes_are_in_force_in_time_after_random_failures(scenario in scenario(1_usize..=3, transitions())) {
+    fn confirmed_changes_are_in_force_in_time_after_random_failures(
+        scenario in scenario(1_usize..=3, transitions()),
+    ) {
         let result = Fleet::new(scenario).run();
         prop_assert!(result.is_ok(), "{}", result.unwrap_err());
     }
 
-    /// Four daemons watch, and two rest on their word.
+    /// Four daemons watch, and two follow them.
     #[test]
     fn confirmed_changes_are_in_force_in_time_at_followers(
         scenario in scenario(Just(6_usize), transitions_of(6)),
@@ -118,7 +122,9 @@
     }
 
     #[test]
-    fn confirmed_changes_are_in_force_in_time_after_lost_answers(scenario in scenario(2_usize..=3, answer_losses())) {
+    fn confirmed_changes_are_in_force_in_time_after_lost_answers(
+        scenario in scenario(2_usize..=3, answer_losses()),
+    ) {
         let result = Fleet::new(scenario).run();
         prop_assert!(result.is_ok(), "{}", result.unwrap_err());
     }
--- a/crates/basilbank_forward/tests/reading/read_counts.rs
+++ b/crates/basilbank_forward/tests/reading/read_counts.rs
@@ -1,4 +1,4 @@
-//! What a large fleet asks the store, all daemons together.
+//! Limits on the number of reads that a large fleet sends to the store.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 const WATCHERS: usize = 6;
 const RUN_SECONDS: u64 = 60;
 
-/// Questions of all daemons while nothing fails and versions are confirmed so far apart.
+/// Returns the number of reads of all daemons in a run without failures, in which the configuration
+/// changes at this interval.
 fn count_reads(routes_interval: Duration) -> u32 {
     let mut fleet = Fleet::new(Scenario {
         daemons: DAEMONS,
@@ -20,12 +21,13 @@
         end: Duration::from_secs(RUN_SECONDS),
         seed: 7,
     });
-    fleet.run().expect("what is confirmed is in force in time");
+    fleet.run().expect("confirmed changes are in force in time");
     fleet.read_count
 }
 
-/// What the waits allow: watches of 0.8 s and of three times that at least for those that watch, a look of
-/// each topic in 9.6 s at least for the others, and three questions a topic until all have met.
+/// Returns the maximum number of reads without changes. A watcher's watch of the list waits at least
+/// 0.8 s, and its watch of the configuration three times as long. Each other daemon polls each topic
+/// at most every 9.6 s, and reads each topic three times until all daemons are in contact.
 fn max_idle_reads() -> u32 {
     let seconds = RUN_SECONDS as f64;
     let watches = WATCHERS as f64 * (seconds / 0.8 + seconds / 2.4);
@@ -36,14 +38,13 @@
 #[test]
 fn an_idle_fleet_reads_only_for_watches_and_polls() {
     let reads = count_reads(Duration::from_secs(1000));
-    assert!(reads <= max_idle_reads(), "{reads} questions of {} allowed", max_idle_reads());
+    assert!(reads <= max_idle_reads(), "{reads} reads, {} allowed", max_idle_reads());
 }
 
-/// Each change costs each daemon one question.
 #[test]
 fn a_change_costs_each_daemon_at_most_one_read() {
     let reads = count_reads(Duration::from_secs(5));
     let changes = DAEMONS as u32 * (RUN_SECONDS as u32 / 5);
     let allowed = max_idle_reads() + changes;
-    assert!(reads <= allowed, "{reads} questions of {allowed} allowed");
+    assert!(reads <= allowed, "{reads} reads, {allowed} allowed");
 }
--- a/crates/basilbank_forward/tests/reading/scenario.rs
+++ b/crates/basilbank_forward/tests/reading/scenario.rs
@@ -1,10 +1,10 @@
-//! What is played.
+//! Input of a simulation run.
 
 use std::time::Duration;
 
 use crate::store::StoreCondition;
 
-/// The way to the store of one daemon, or of all, changes.
+/// Changes the condition in which one daemon finds the store, or all daemons if `daemon` is `None`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Transition {
     pub at: Duration,
@@ -12,20 +12,20 @@
     pub condition: StoreCondition,
 }
 
-/// What is played.
+/// Input of a simulation run.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Scenario {
     pub daemons: usize,
-    /// So many of them watch, the first ones, and the others rest on their word; 0 when all watch.
+    /// Number of daemons that watch, the first ones; the others follow them. 0 if all watch.
     pub watchers: usize,
-    /// The store doesn't say its era, as an older one.
+    /// Whether the store doesn't report its era, like older versions of it.
     pub omits_era: bool,
     pub transitions: Vec<Transition>,
-    /// A version is confirmed each time so much has passed.
+    /// Interval between confirmed changes of the configuration.
     pub routes_interval: Duration,
-    /// The list changes each time so much has passed; `None` for never.
+    /// Interval between changes of the list of endpoints; `None` if it doesn't change.
     pub endpoints_interval: Option<Duration>,
     pub end: Duration,
-    /// Decides how long watches wait, between their least and their longest.
+    /// Seed of the random time that each watch waits, between its minimum and its maximum.
     pub seed: u64,
 }
--- a/crates/basilbank_forward/tests/reading/store.rs
+++ b/crates/basilbank_forward/tests/reading/store.rs
@@ -1,38 +1,38 @@
-//! The store as a daemon finds it: what it holds, and how its way to a daemon fails.
+//! A simulated store, and the conditions in which a daemon may find it.
 
 use std::time::Duration;
 
 use basilbank_forward::prelude::*;
 
-/// What a question and its answer take.
+/// Network time of a read and its answer together.
 pub const ROUND_TRIP: Duration = Duration::from_millis(5);
 
-/// How the store is reached.
+/// Condition in which a daemon finds the store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum StoreCondition {
-    /// It answers.
+    /// The store answers at once.
     #[default]
     Healthy,
-    /// Connections can be made, nothing comes, and what waits gets no answer any more.
+    /// New connections succeed, but no read is answered, not even those that are pending.
     Unresponsive,
-    /// No connection can be made, and nothing comes over those that stand.
+    /// New connections fail, and no data arrives over open ones.
     Unreachable,
-    /// Each question is refused, and those that wait are broken off.
+    /// Each read is refused, and pending reads are reset.
     Refusing,
-    /// Answers take so many milliseconds longer.
+    /// Answers take this number of milliseconds longer.
     Slow(u16),
-    /// It answers, but not over connections that stood.
+    /// The store answers, but not over connections that were open before.
     ConnectionsDropped,
-    /// It answers, and has forgotten its history.
+    /// The store answers, but has discarded its history of changes.
     Compacted,
-    /// It answers, but each second answer is lost.
+    /// The store answers, but every second answer is lost.
     Lossy,
-    /// It answers, and has come back from a copy of itself that is so many milliseconds old.
+    /// The store answers, and was restored from a backup that is this number of milliseconds old.
     Restored(u16),
 }
 
 impl StoreCondition {
-    /// Questions that are asked now are answered soon.
+    /// Returns whether reads that start now are answered within the tolerated delay.
     pub fn answers_in_time(self) -> bool {
         matches!(
             self,
@@ -43,7 +43,7 @@
         ) || self == StoreCondition::Slow(TOLERATED_DELAY_MS)
     }
 
-    /// Connections that stand are dead from now on.
+    /// Returns whether open connections die without an error.
     pub fn kills_connections(self) -> bool {
         matches!(
             self,
@@ -54,10 +54,10 @@
     }
 }
 
-/// A slowness that is no outage, in milliseconds.
+/// Delay of answers that doesn't count as an outage.
 pub const TOLERATED_DELAY_MS: u16 = 250;
 
-/// Changes before anybody asks: one of each topic.
+/// Number of changes before the first read: one of each topic.
 const INITIAL_CHANGES: usize = 2;
 
 /// A change that the store has confirmed.
@@ -65,77 +65,77 @@
 pub struct Change {
     pub at: Duration,
     pub topic: Topic,
-    /// The version of its topic that it brings.
+    /// Version of the topic after this change.
     pub version: u64,
 }
 
-/// What the store holds.
+/// State of the simulated store.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
-    /// How often it has come back from a copy.
+    /// Number of restores from a backup.
     pub era: u64,
-    /// All changes; each one's revision is its place, counted from one.
+    /// All changes. A change's revision is its position, counted from one.
     pub changes: Vec<Change>,
-    /// Its answers don't say its era.
+    /// Whether answers don't report the era.
     pub omits_era: bool,
-    /// Changes up to this revision are forgotten.
+    /// Revision up to which changes are discarded.
     pub compacted_revision: u64,
-    /// The newest version of each topic that was ever written.
+    /// Newest version of each topic that was ever written, including those that a restore has lost.
     pub latest_versions: PerTopic<u64>,
 }
 
 impl Store {
-    /// The era as its answers say it.
+    /// Returns the era as answers report it.
     pub fn reported_era(&self) -> Option<u64> {
         (!self.omits_era).then_some(self.era)
     }
 
-    /// Its revision.
+    /// Returns the store's current revision.
     pub fn revision(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// A new version of a topic is confirmed.
+    /// Confirms a new version of a topic.
     pub fn confirm_change(&mut self, topic: Topic, now: Duration) {
         *self.latest_versions.get_mut(topic) += 1;
         self.write_latest(topic, now);
     }
 
-    /// What the operator or an endpoint has written last is written, perhaps again.
+    /// Writes the newest version of a topic, which may be one that a restore has lost.
     pub fn write_latest(&mut self, topic: Topic, now: Duration) {
         let version = *self.latest_versions.get(topic);
         self.changes.push(Change { at: now, topic, version });
     }
 
-    /// It comes back from a copy of this age: what was confirmed since is gone, and its revisions will be
-    /// given out again.
+    /// Restores the store from a backup of this age. Changes that were confirmed since then are lost,
+    /// and their revisions will be assigned again.
     pub fn restore(&mut self, age: Duration, now: Duration) {
         let kept = self.changes.iter().take_while(|change| change.at + age <= now).count();
-        // Both topics were there before anybody asked.
+        // Both topics existed before the first read.
         self.changes.truncate(kept.max(INITIAL_CHANGES));
         self.compacted_revision = self.compacted_revision.min(self.revision());
         self.era += 1;
     }
 
-    /// The revision of a topic's last change.
+    /// Returns the revision of a topic's last change.
     pub fn last_change_revision(&self, topic: Topic) -> u64 {
         let last = self.changes.iter().rposition(|change| change.topic == topic);
         last.map_or(0, |last| last as u64 + 1)
     }
 
-    /// The version of a topic that it holds.
+    /// Returns the version of a topic that the store holds.
     pub fn stored_version(&self, topic: Topic) -> u64 {
         let last = self.changes.iter().rev().find(|change| change.topic == topic);
         last.map_or(0, |change| change.version)
     }
 
-    /// When the oldest version of a topic was confirmed that is newer than this one.
+    /// Returns the time at which the first version of a topic that is newer than `version` was confirmed.
     pub fn first_change_after(&self, topic: Topic, version: u64) -> Option<Duration> {
         let is_newer = |change: &&Change| change.topic == topic && version < change.version;
         self.changes.iter().find(is_newer).map(|change| change.at)
     }
 
-    /// What a question is answered now; `None` while it waits for a change.
+    /// Returns the answer to a read, or `None` while the read waits for a change.
     pub fn answer(&self, topic: Topic, scope: &Scope, wait_is_over: bool) -> Option<ReadOutcome> {
         let answer = |changed| ReadOutcome::Answer {
             store_revision: self.revision(),
