--- a/crates/basilbank_cli/src/admin.rs
+++ b/crates/basilbank_cli/src/admin.rs
@@ -5,32 +5,32 @@
 use serde_json::Value;
 use ureq::{Agent, Body, http::Response};
 
-use crate::{args::Options, failure::Failure, table::cell};
+use crate::{args::Options, failure::Failure, table::format_cell};
 
 /// A daemon that takes longer is as good as unreachable.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Most bytes of an answer: a list of 10,000 teams has some megabytes.
-const MAX_ANSWER: u64 = 64 << 20;
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
 /// Most bytes of an answer that says why not.
-const MAX_REASON: u64 = 64 << 10;
+const MAX_ERROR_BODY_BYTES: u64 = 64 << 10;
 
 /// A daemon's admin API.
 #[derive(Debug)]
-pub struct Admin {
+pub struct AdminClient {
     agent: Agent,
     base: String,
     key: Option<String>,
 }
 
-impl Admin {
+impl AdminClient {
     /// The daemon that the options name.
     ///
     /// # Errors
     ///
     /// They name none.
-    pub fn new(options: &Options) -> Result<Admin, Failure> {
+    pub fn new(options: &Options) -> Result<AdminClient, Failure> {
         let Some(admin) = &options.admin else {
             let message = "no daemon is named: give --admin URL or set BASILBANK_ADMIN";
             return Err(Failure::Usage(message.to_owned()));
@@ -39,12 +39,12 @@
         let base = if admin.contains("://") { admin.to_owned() } else { format!("http://{admin}") };
         // The key must not go to a proxy that some variable of the environment names.
         let config = Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .http_status_as_error(false)
             .max_redirects(0)
             .proxy(None)
             .build();
-        Ok(Admin { agent: Agent::new_with_config(config), base, key: options.key.clone() })
+        Ok(AdminClient { agent: Agent::new_with_config(config), base, key: options.key.clone() })
     }
 
     /// Reads a path under `/admin/`.
@@ -57,8 +57,8 @@
         if let Some(key) = &self.key {
             request = request.header("Authorization", format!("Bearer {key}"));
         }
-        let answer = request.call().map_err(|error| self.unreachable(&error))?;
-        self.read(answer, what)
+        let answer = request.call().map_err(|error| self.request_failure(&error))?;
+        self.parse_answer(answer, what)
     }
 
     /// Posts to a path under `/admin/`.
@@ -72,11 +72,12 @@
             request = request.header("Authorization", format!("Bearer {key}"));
         }
         let request = request.header("Content-Type", "application/json");
-        let answer = request.send(body.to_string()).map_err(|error| self.unreachable(&error))?;
-        self.read(answer, path)
+        let answer =
+            request.send(body.to_string()).map_err(|error| self.request_failure(&error))?;
+        self.parse_answer(answer, path)
     }
 
-    fn unreachable(&self, error: &ureq::Error) -> Failure {
+    fn request_failure(&self, error: &ureq::Error) -> Failure {
         match error {
             ureq::Error::Http(_) => Failure::Usage("the key can't be sent in a header".to_owned()),
             ureq::Error::BadUri(_) => Failure::Usage(format!("{} is not a URL", self.base)),
@@ -85,27 +86,28 @@
     }
 
     /// The reason that an answer other than 200 gives, if it gives one.
-    fn reason(&self, answer: &mut Response<Body>) -> String {
-        let text = answer.body_mut().with_config().limit(MAX_REASON).read_to_string();
+    fn error_message(&self, answer: &mut Response<Body>) -> String {
+        let text = answer.body_mut().with_config().limit(MAX_ERROR_BODY_BYTES).read_to_string();
         let body: Option<Value> = text.ok().and_then(|text| serde_json::from_str(&text).ok());
-        let reason = body.as_ref().and_then(|body| body.get("error")).map(cell);
+        let reason = body.as_ref().and_then(|body| body.get("error")).map(format_cell);
         format!("{} answers: {}", self.base, reason.unwrap_or("no reason".to_owned()))
     }
 
-    fn read(&self, mut answer: Response<Body>, what: &str) -> Result<Value, Failure> {
+    fn parse_answer(&self, mut answer: Response<Body>, what: &str) -> Result<Value, Failure> {
         match answer.status().as_u16() {
             200 => {}
-            400 => return Err(Failure::Usage(self.reason(&mut answer))),
-            401 | 403 => return Err(Failure::Key),
+            400 => return Err(Failure::Usage(self.error_message(&mut answer))),
+            401 | 403 => return Err(Failure::KeyRefused),
             404 => return Err(Failure::NotFound(what.to_owned())),
             status => {
-                let reason = self.reason(&mut answer);
+                let reason = self.error_message(&mut answer);
                 return Err(Failure::Unreachable(format!("{reason} (status {status})")));
             }
         }
-        let text = answer.body_mut().with_config().limit(MAX_ANSWER).read_to_string();
-        let text = text.map_err(|error| self.unreachable(&error))?;
-        let wrong = |_| Failure::Unreachable(format!("{}: the answer is not JSON", self.base));
-        serde_json::from_str(&text).map_err(wrong)
+        let text = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES).read_to_string();
+        let text = text.map_err(|error| self.request_failure(&error))?;
+        let invalid_json =
+            |_| Failure::Unreachable(format!("{}: the answer is not JSON", self.base));
+        serde_json::from_str(&text).map_err(invalid_json)
     }
 }
--- a/crates/basilbank_cli/src/args.rs
+++ b/crates/basilbank_cli/src/args.rs
@@ -7,7 +7,7 @@
 use crate::failure::Failure;
 
 /// Time between two rounds of `watch` when none is given.
-const INTERVAL: Duration = Duration::from_secs(2);
+const DEFAULT_WATCH_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How output looks.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -48,7 +48,7 @@
 
 /// How often `watch` looks.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Rounds {
+pub struct WatchOptions {
     /// Rounds before it ends; `None` for no end.
     pub count: Option<u64>,
     /// Time between two rounds.
@@ -107,17 +107,17 @@
     /// Tell what became of a request.
     Explain {
         /// Its id.
-        request: String,
+        request_id: String,
     },
     /// Show a request's way by logs.
     Trace {
         /// Its id at the caller.
-        request: String,
+        id_or_digest: String,
         /// The logs.
         files: Vec<String>,
     },
     /// Show changes as they happen.
-    Watch(Rounds),
+    Watch(WatchOptions),
     /// Hash a bearer key.
     HashKey,
 }
@@ -156,17 +156,17 @@
         env: &dyn Fn(&str) -> Option<String>,
     ) -> Result<Invocation, Failure> {
         // Only `diff` has a second list of files.
-        let second = args.iter().position(|arg| arg == "--").map(|at| args.split_off(at));
+        let after_separator = args.iter().position(|arg| arg == "--").map(|at| args.split_off(at));
         let mut args = Arguments::from_vec(args);
         let help = args.contains(["-h", "--help"]);
         let options = read_options(&mut args, env)?;
         let count = args.opt_value_from_str("--count")?;
         let seconds: Option<f64> = args.opt_value_from_str("--interval")?;
-        let rounds = Rounds { count, interval: interval(seconds)? };
+        let watch = WatchOptions { count, interval: parse_interval(seconds)? };
         let name = args.subcommand()?;
-        let Some(topic) = topic(name.as_deref())? else {
+        let Some(topic) = parse_topic(name.as_deref())? else {
             let command = Command::Help(Topic::Overview);
-            return help.then_some(Invocation { options, command }).ok_or_else(no_command);
+            return help.then_some(Invocation { options, command }).ok_or_else(no_command_error);
         };
         if help {
             return Ok(Invocation { options, command: Command::Help(topic) });
@@ -174,22 +174,25 @@
         if topic != Topic::Watch && (count.is_some() || seconds.is_some()) {
             return Err(Failure::Usage("--count and --interval go with `watch`".to_owned()));
         }
-        let rest = texts(args.finish())?;
-        let second = second.map(|all| texts(all.into_iter().skip(1).collect())).transpose()?;
-        Ok(Invocation { options, command: command(topic, rest, second, rounds)? })
+        let rest = into_strings(args.finish())?;
+        let after_separator = after_separator
+            .map(|args| into_strings(args.into_iter().skip(1).collect()))
+            .transpose()?;
+        Ok(Invocation { options, command: build_command(topic, rest, after_separator, watch)? })
     }
 }
 
-fn no_command() -> Failure {
+fn no_command_error() -> Failure {
     Failure::Usage("no command is given".to_owned())
 }
 
-fn interval(seconds: Option<f64>) -> Result<Duration, Failure> {
-    let Some(seconds) = seconds else { return Ok(INTERVAL) };
-    let wrong = || Failure::Usage("--interval is a number of seconds from 0.1".to_owned());
-    let interval = Duration::try_from_secs_f64(seconds).map_err(|_| wrong())?;
+fn parse_interval(seconds: Option<f64>) -> Result<Duration, Failure> {
+    let Some(seconds) = seconds else { return Ok(DEFAULT_WATCH_INTERVAL) };
+    let invalid_interval =
+        || Failure::Usage("--interval is a number of seconds from 0.1".to_owned());
+    let interval = Duration::try_from_secs_f64(seconds).map_err(|_| invalid_interval())?;
     if interval < Duration::from_millis(100) {
-        return Err(wrong());
+        return Err(invalid_interval());
     }
     Ok(interval)
 }
@@ -213,7 +216,7 @@
     fs::read_to_string(name).map_err(|error| Failure::File { name: name.to_owned(), error })
 }
 
-fn texts(args: Vec<OsString>) -> Result<Vec<String>, Failure> {
+fn into_strings(args: Vec<OsString>) -> Result<Vec<String>, Failure> {
     let text = |arg: OsString| {
         let text = arg.into_string();
         text.map_err(|arg| Failure::Usage(format!("{} is not Unicode", arg.display())))
@@ -221,7 +224,7 @@
     args.into_iter().map(text).collect()
 }
 
-fn topic(name: Option<&str>) -> Result<Option<Topic>, Failure> {
+fn parse_topic(name: Option<&str>) -> Result<Option<Topic>, Failure> {
     let Some(name) = name else { return Ok(None) };
     Ok(Some(match name {
         "check" => Topic::Check,
@@ -241,45 +244,45 @@
     }))
 }
 
-fn command(
+fn build_command(
     topic: Topic,
     rest: Vec<String>,
-    second: Option<Vec<String>>,
-    rounds: Rounds,
+    after_separator: Option<Vec<String>>,
+    watch: WatchOptions,
 ) -> Result<Command, Failure> {
     if let Some(option) = rest.iter().find(|arg| arg.starts_with('-') && *arg != "-") {
         return Err(Failure::Usage(format!("there is no option {option}")));
     }
-    if second.is_some() && topic != Topic::Diff {
+    if after_separator.is_some() && topic != Topic::Diff {
         return Err(Failure::Usage("only `diff` takes a second list after --".to_owned()));
     }
     match topic {
-        Topic::Check => Ok(Command::Check { files: some_files(rest)? }),
-        Topic::Diff => match second {
-            Some(new) => Ok(Command::Diff { old: some_files(rest)?, new: some_files(new)? }),
-            None => Ok(Command::DryRun { files: some_files(rest)? }),
+        Topic::Check => Ok(Command::Check { files: require_files(rest)? }),
+        Topic::Diff => match after_separator {
+            Some(new) => Ok(Command::Diff { old: require_files(rest)?, new: require_files(new)? }),
+            None => Ok(Command::DryRun { files: require_files(rest)? }),
         },
         Topic::Explain => match <[String; 1]>::try_from(rest) {
-            Ok([request]) => Ok(Command::Explain { request }),
+            Ok([request_id]) => Ok(Command::Explain { request_id }),
             Err(_) => Err(Failure::Usage("`explain` takes one request id".to_owned())),
         },
         Topic::Trace => match rest.split_first() {
-            Some((request, files)) => {
-                let files = some_files(files.to_vec())?;
-                Ok(Command::Trace { request: request.clone(), files })
+            Some((id_or_digest, files)) => {
+                let files = require_files(files.to_vec())?;
+                Ok(Command::Trace { id_or_digest: id_or_digest.clone(), files })
             }
             None => Err(Failure::Usage("`trace` takes a request id and logs".to_owned())),
         },
         _ if !rest.is_empty() => Err(Failure::Usage(format!("{:?} is one too many", rest[0]))),
         Topic::Status => Ok(Command::Status),
         Topic::List(list) => Ok(Command::List(list)),
-        Topic::Watch => Ok(Command::Watch(rounds)),
+        Topic::Watch => Ok(Command::Watch(watch)),
         Topic::HashKey => Ok(Command::HashKey),
         Topic::Overview => Ok(Command::Help(Topic::Overview)),
     }
 }
 
-fn some_files(files: Vec<String>) -> Result<Vec<String>, Failure> {
+fn require_files(files: Vec<String>) -> Result<Vec<String>, Failure> {
     if files.is_empty() {
         return Err(Failure::Usage("no file is given".to_owned()));
     }
--- a/crates/basilbank_cli/src/check.rs
+++ b/crates/basilbank_cli/src/check.rs
@@ -5,42 +5,46 @@
 
 use crate::{
     args::{Format, Options, read_file},
-    failure::{Failure, Status},
-    shell::Shell,
+    context::CommandContext,
+    failure::{ExitStatus, Failure},
     show::write_json,
 };
 
 /// A file and what it is.
-struct File {
+struct InputFile {
     name: String,
     text: String,
     kind: TextKind,
 }
 
 /// Checks files.
-pub fn run(shell: &mut Shell<'_>, options: &Options, names: &[String]) -> Result<Status, Failure> {
-    let files = names.iter().map(|name| open(name)).collect::<Result<Vec<_>, _>>()?;
-    let findings = findings(&files);
+pub fn run(
+    ctx: &mut CommandContext<'_>,
+    options: &Options,
+    names: &[String],
+) -> Result<ExitStatus, Failure> {
+    let files = names.iter().map(|name| read_input(name)).collect::<Result<Vec<_>, _>>()?;
+    let findings = check_files(&files);
     match options.format {
         Format::Json => {
-            let kind = |f: &File| json!({ "file": f.name, "kind": f.kind.as_str() });
+            let kind = |f: &InputFile| json!({ "file": f.name, "kind": f.kind.as_str() });
             let files: Vec<_> = files.iter().map(kind).collect();
-            write_json(shell, &json!({ "files": files, "findings": to_json(&findings) }))?;
+            write_json(ctx, &json!({ "files": files, "findings": findings_to_json(&findings) }))?;
         }
         Format::Table => {
-            write_findings(shell, &findings)?;
+            write_findings(ctx, &findings)?;
             for file in &files {
                 let count = findings.iter().filter(|f| f.file == file.name).count();
                 let (name, kind) = (&file.name, file.kind.as_str());
-                writeln!(shell.out, "{name}: {kind}, {count} findings")?;
+                writeln!(ctx.out, "{name}: {kind}, {count} findings")?;
             }
         }
     }
-    Ok(status(&findings))
+    Ok(exit_status(&findings))
 }
 
 /// The documents of a catalogue that files hold.
-pub fn documents(names: &[String]) -> Result<Vec<Document>, Failure> {
+pub fn read_documents(names: &[String]) -> Result<Vec<Document>, Failure> {
     let read = |name: &String| {
         Ok(Document { key: name.clone(), text: Some(read_file(name)?), revision: 0 })
     };
@@ -48,16 +52,16 @@
 }
 
 /// Prints findings, one a line.
-pub fn write_findings(shell: &mut Shell<'_>, findings: &[Finding]) -> Result<(), Failure> {
+pub fn write_findings(ctx: &mut CommandContext<'_>, findings: &[Finding]) -> Result<(), Failure> {
     for finding in findings {
-        writeln!(shell.out, "{finding}")?;
+        writeln!(ctx.out, "{finding}")?;
     }
     Ok(())
 }
 
 /// Findings as the admin API gives them.
-pub fn to_json(findings: &[Finding]) -> Value {
-    let object = |f: &Finding| {
+pub fn findings_to_json(findings: &[Finding]) -> Value {
+    let finding_to_json = |f: &Finding| {
         json!({
             "file": f.file,
             "line": f.line,
@@ -67,26 +71,26 @@
             "help": f.help,
         })
     };
-    findings.iter().map(object).collect()
+    findings.iter().map(finding_to_json).collect()
 }
 
 /// The status that findings come to: warnings alone are well.
-pub fn status(findings: &[Finding]) -> Status {
-    let errors = findings.iter().any(|f| f.severity == basilbank_config::Severity::Error);
-    if errors { Status::Found } else { Status::Ok }
+pub fn exit_status(findings: &[Finding]) -> ExitStatus {
+    let has_errors = findings.iter().any(|f| f.severity == basilbank_config::Severity::Error);
+    if has_errors { ExitStatus::InvalidOrNotFound } else { ExitStatus::Ok }
 }
 
-fn open(name: &str) -> Result<File, Failure> {
+fn read_input(name: &str) -> Result<InputFile, Failure> {
     let text = read_file(name)?;
     let kind = TextKind::detect(&text);
-    Ok(File { name: name.to_owned(), text, kind })
+    Ok(InputFile { name: name.to_owned(), text, kind })
 }
 
 /// Each settings file is checked by itself, all documents of the catalogue are checked together.
-fn findings(files: &[File]) -> Vec<Finding> {
+fn check_files(files: &[InputFile]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut documents = Vec::new();
-    for File { name, text, kind } in files {
+    for InputFile { name, text, kind } in files {
         match kind {
             TextKind::Settings => {
                 let parsed = Settings::parse(name, text);
--- a/crates/basilbank_cli/src/compare.rs
+++ b/crates/basilbank_cli/src/compare.rs
@@ -4,24 +4,24 @@
 use serde_json::{Value, json};
 
 use crate::{
-    admin::Admin,
+    admin::AdminClient,
     args::{Format, Options},
-    check::{documents, status, to_json, write_findings},
-    failure::{Failure, Status},
-    shell::Shell,
+    check::{exit_status, findings_to_json, read_documents, write_findings},
+    context::CommandContext,
+    failure::{ExitStatus, Failure},
     show::write_json,
-    table::{Flat, cell},
+    table::{JsonObject, format_cell},
 };
 
 /// Compares two catalogues that files hold.
-pub fn files(
-    shell: &mut Shell<'_>,
+pub fn compare_files(
+    ctx: &mut CommandContext<'_>,
     options: &Options,
     old: &[String],
     new: &[String],
-) -> Result<Status, Failure> {
-    let old = check_catalogue(0, &documents(old)?);
-    let new = check_catalogue(0, &documents(new)?);
+) -> Result<ExitStatus, Failure> {
+    let old = check_catalogue(0, &read_documents(old)?);
+    let new = check_catalogue(0, &read_documents(new)?);
     let findings: Vec<Finding> = [old.findings.items, new.findings.items].concat();
     let changes: Vec<String> = match (&old.catalogue, &new.catalogue) {
         (Some(old), Some(new)) => diff(old, new).iter().map(ToString::to_string).collect(),
@@ -29,63 +29,64 @@
     };
     match options.format {
         Format::Json => {
-            let answer = json!({ "findings": to_json(&findings), "changes": changes });
-            write_json(shell, &answer)?;
+            let answer = json!({ "findings": findings_to_json(&findings), "changes": changes });
+            write_json(ctx, &answer)?;
         }
         Format::Table => {
-            write_findings(shell, &findings)?;
-            if status(&findings) == Status::Ok {
-                write_changes(shell, &changes)?;
+            write_findings(ctx, &findings)?;
+            if exit_status(&findings) == ExitStatus::Ok {
+                write_changes(ctx, &changes)?;
             }
         }
     }
-    Ok(status(&findings))
+    Ok(exit_status(&findings))
 }
 
 /// Has a daemon compare a catalogue with the one that it has in force.
 pub fn dry_run(
-    shell: &mut Shell<'_>,
+    ctx: &mut CommandContext<'_>,
     options: &Options,
-    names: &[String],
-) -> Result<Status, Failure> {
-    let document = |d: &basilbank_config::Document| json!({ "key": d.key, "text": d.text });
-    let documents: Vec<Value> = documents(names)?.iter().map(document).collect();
-    let answer = Admin::new(options)?.post("check", &json!({ "documents": documents }))?;
-    let (findings, changes) = read_answer(&answer)?;
-    let errors = findings.iter().any(|f| f.get("severity").is_none_or(|s| s != "warning"));
+    files: &[String],
+) -> Result<ExitStatus, Failure> {
+    let to_json = |d: &basilbank_config::Document| json!({ "key": d.key, "text": d.text });
+    let documents: Vec<Value> = read_documents(files)?.iter().map(to_json).collect();
+    let answer = AdminClient::new(options)?.post("check", &json!({ "documents": documents }))?;
+    let (findings, changes) = parse_dry_run(&answer)?;
+    let has_errors = findings.iter().any(|f| f.get("severity").is_none_or(|s| s != "warning"));
     match options.format {
-        Format::Json => write_json(shell, &answer)?,
+        Format::Json => write_json(ctx, &answer)?,
         Format::Table => {
             for finding in &findings {
-                writeln!(shell.out, "{}", line(finding))?;
+                writeln!(ctx.out, "{}", format_finding(finding))?;
             }
-            if !errors {
-                write_changes(shell, &changes)?;
+            if !has_errors {
+                write_changes(ctx, &changes)?;
             }
         }
     }
-    Ok(if errors { Status::Found } else { Status::Ok })
+    Ok(if has_errors { ExitStatus::InvalidOrNotFound } else { ExitStatus::Ok })
 }
 
-fn write_changes(shell: &mut Shell<'_>, changes: &[String]) -> Result<(), Failure> {
+fn write_changes(ctx: &mut CommandContext<'_>, changes: &[String]) -> Result<(), Failure> {
     for change in changes {
-        writeln!(shell.out, "{change}")?;
+        writeln!(ctx.out, "{change}")?;
     }
-    writeln!(shell.out, "{} changes", changes.len())?;
+    writeln!(ctx.out, "{} changes", changes.len())?;
     Ok(())
 }
 
-fn read_answer(answer: &Value) -> Result<(Vec<Flat>, Vec<String>), Failure> {
-    let wrong = || Failure::Unreachable("the daemon's answer is not a dry run's".to_owned());
-    let list = |name: &str| answer.get(name).and_then(Value::as_array).ok_or_else(wrong);
+fn parse_dry_run(answer: &Value) -> Result<(Vec<JsonObject>, Vec<String>), Failure> {
+    let invalid_answer =
+        || Failure::Unreachable("the daemon's answer is not a dry run's".to_owned());
+    let list = |name: &str| answer.get(name).and_then(Value::as_array).ok_or_else(invalid_answer);
     let findings = list("findings")?.iter().map(|f| f.as_object().cloned());
-    let findings: Option<Vec<Flat>> = findings.collect();
-    Ok((findings.ok_or_else(wrong)?, list("changes")?.iter().map(cell).collect()))
+    let findings: Option<Vec<JsonObject>> = findings.collect();
+    Ok((findings.ok_or_else(invalid_answer)?, list("changes")?.iter().map(format_cell).collect()))
 }
 
 /// A finding of the daemon's, written as `check` writes one.
-fn line(finding: &Flat) -> String {
-    let text = |name: &str| finding.get(name).map_or("-".to_owned(), cell);
-    let place = format!("{}:{}:{}", text("file"), text("line"), text("column"));
-    format!("{place}: {}: {}; {}", text("severity"), text("message"), text("help"))
+fn format_finding(finding: &JsonObject) -> String {
+    let text = |name: &str| finding.get(name).map_or("-".to_owned(), format_cell);
+    let position = format!("{}:{}:{}", text("file"), text("line"), text("column"));
+    format!("{position}: {}: {}; {}", text("severity"), text("message"), text("help"))
 }
--- a/crates/basilbank_cli/src/shell.rs
+++ b/crates/basilbank_cli/src/context.rs
@@ -7,7 +7,7 @@
 };
 
 /// What a command reads from and writes to.
-pub struct Shell<'a> {
+pub struct CommandContext<'a> {
     /// Standard input.
     pub input: &'a mut dyn Read,
     /// Standard output.
@@ -20,8 +20,8 @@
     pub sleep: &'a dyn Fn(Duration),
 }
 
-impl fmt::Debug for Shell<'_> {
+impl fmt::Debug for CommandContext<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Shell").finish_non_exhaustive()
+        f.debug_struct("CommandContext").finish_non_exhaustive()
     }
 }
--- a/crates/basilbank_cli/src/failure.rs
+++ b/crates/basilbank_cli/src/failure.rs
@@ -4,26 +4,26 @@
 
 /// The exit status.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Status {
+pub enum ExitStatus {
     /// All went well.
     Ok,
     /// Texts have errors, or what was asked for isn't there.
-    Found,
+    InvalidOrNotFound,
     /// The command line, a file named on it or the key is wrong.
     Usage,
     /// The daemon can't be reached, or gave no proper answer.
     Unreachable,
 }
 
-impl Status {
+impl ExitStatus {
     /// The process's exit code.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
-            Status::Ok => 0,
-            Status::Found => 1,
-            Status::Usage => 2,
-            Status::Unreachable => 3,
+            ExitStatus::Ok => 0,
+            ExitStatus::InvalidOrNotFound => 1,
+            ExitStatus::Usage => 2,
+            ExitStatus::Unreachable => 3,
         }
     }
 }
@@ -41,7 +41,7 @@
         error: io::Error,
     },
     /// The daemon does not take the key.
-    Key,
+    KeyRefused,
     /// The daemon has no such thing.
     NotFound(String),
     /// The daemon can't be reached, or gave no proper answer.
@@ -53,14 +53,14 @@
 impl Failure {
     /// The exit status that goes with it.
     #[must_use]
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ExitStatus {
         match self {
-            Failure::Usage(_) | Failure::File { .. } | Failure::Key => Status::Usage,
-            Failure::NotFound(_) => Status::Found,
-            Failure::Unreachable(_) => Status::Unreachable,
+            Failure::Usage(_) | Failure::File { .. } | Failure::KeyRefused => ExitStatus::Usage,
+            Failure::NotFound(_) => ExitStatus::InvalidOrNotFound,
+            Failure::Unreachable(_) => ExitStatus::Unreachable,
             // A reader like `head` that has seen enough is no failure.
-            Failure::Output(error) if error.kind() == io::ErrorKind::BrokenPipe => Status::Ok,
-            Failure::Output(_) => Status::Usage,
+            Failure::Output(error) if error.kind() == io::ErrorKind::BrokenPipe => ExitStatus::Ok,
+            Failure::Output(_) => ExitStatus::Usage,
         }
     }
 }
@@ -82,7 +82,7 @@
         match self {
             Failure::Usage(message) => write!(f, "{message}; `basilbank --help` tells more"),
             Failure::File { name, error } => write!(f, "{name}: {error}"),
-            Failure::Key => {
+            Failure::KeyRefused => {
                 write!(
                     f,
                     "the daemon refuses the key; give its admin_key by --key-file or BASILBANK_KEY"
--- a/crates/basilbank_cli/src/key.rs
+++ b/crates/basilbank_cli/src/hash_key.rs
@@ -7,33 +7,34 @@
 
 use crate::{
     args::{Format, Options},
-    failure::{Failure, Status},
-    shell::Shell,
+    context::CommandContext,
+    failure::{ExitStatus, Failure},
     show::write_json,
 };
 
 /// Longest key: a caller's headers are limited too.
-const MAX_KEY: u64 = 4096;
+const MAX_KEY_BYTES: u64 = 4096;
 
 /// Reads a key and prints its hash.
-pub fn run(shell: &mut Shell<'_>, options: &Options) -> Result<Status, Failure> {
+pub fn run(ctx: &mut CommandContext<'_>, options: &Options) -> Result<ExitStatus, Failure> {
     let mut text = String::new();
-    let mut input = shell.input.take(MAX_KEY + 1);
+    let mut input = ctx.input.take(MAX_KEY_BYTES + 1);
     let read = input.read_to_string(&mut text);
     read.map_err(|error| Failure::File { name: "standard input".to_owned(), error })?;
     let key = text.strip_suffix('\n').unwrap_or(&text);
     let key = key.strip_suffix('\r').unwrap_or(key);
     // A key with a blank or a line break in it can't be sent in a header: its hash would lock the
     // team out, and only a refused call would show it.
-    let right = !key.is_empty() && key.chars().all(|c| c.is_ascii_graphic());
-    if !right || MAX_KEY < text.len() as u64 {
-        let message = format!("a key has 1 to {MAX_KEY} printable ASCII characters, no blanks");
+    let is_valid = !key.is_empty() && key.chars().all(|c| c.is_ascii_graphic());
+    if !is_valid || MAX_KEY_BYTES < text.len() as u64 {
+        let message =
+            format!("a key has 1 to {MAX_KEY_BYTES} printable ASCII characters, no blanks");
         return Err(Failure::Usage(message));
     }
     let hash: String = key_hash(key).iter().map(|byte| format!("{byte:02x}")).collect();
     match options.format {
-        Format::Json => write_json(shell, &json!({ "hash": hash }))?,
-        Format::Table => writeln!(shell.out, "{hash}")?,
+        Format::Json => write_json(ctx, &json!({ "hash": hash }))?,
+        Format::Table => writeln!(ctx.out, "{hash}")?,
     }
-    Ok(Status::Ok)
+    Ok(ExitStatus::Ok)
 }
--- a/crates/basilbank_cli/src/lib.rs
+++ b/crates/basilbank_cli/src/lib.rs
@@ -2,17 +2,17 @@
 //! what it is doing.
 //!
 //! ```
-//! use basilbank_cli::{Shell, Status, run};
+//! use basilbank_cli::{CommandContext, ExitStatus, run};
 //!
 //! let (mut out, mut err) = (Vec::new(), Vec::new());
-//! let mut shell = Shell {
+//! let mut ctx = CommandContext {
 //!     input: &mut "a-key\n".as_bytes(),
 //!     out: &mut out,
 //!     err: &mut err,
 //!     env: &|_| None,
 //!     sleep: &|_| {},
 //! };
-//! assert_eq!(run(&mut shell, vec!["hash-key".into()]), Status::Ok);
+//! assert_eq!(run(&mut ctx, vec!["hash-key".into()]), ExitStatus::Ok);
 //! assert_eq!(out.len(), 65);
 //! ```
 
@@ -20,17 +20,17 @@
 mod args;
 mod check;
 mod compare;
+mod context;
 mod failure;
+mod hash_key;
 mod help;
-mod key;
 mod run;
-mod shell;
 mod show;
 mod table;
 mod trace;
 mod watch;
 
-pub use failure::{Failure, Status};
+pub use context::CommandContext;
+pub use failure::{ExitStatus, Failure};
 pub use run::run;
-pub use shell::Shell;
 pub use table::{render_list, render_object};
--- a/crates/basilbank_cli/src/main.rs
+++ b/crates/basilbank_cli/src/main.rs
@@ -2,18 +2,18 @@
 
 use std::{env, io, process::ExitCode, thread};
 
-use basilbank_cli::{Shell, run};
+use basilbank_cli::{CommandContext, run};
 
 fn main() -> ExitCode {
     let (mut input, mut out, mut err) =
         (io::stdin().lock(), io::stdout().lock(), io::stderr().lock());
-    let mut shell = Shell {
+    let mut ctx = CommandContext {
         input: &mut input,
         out: &mut out,
         err: &mut err,
         env: &|name| env::var(name).ok(),
         sleep: &thread::sleep,
     };
-    let status = run(&mut shell, env::args_os().skip(1).collect());
+    let status = run(&mut ctx, env::args_os().skip(1).collect());
     ExitCode::from(status.code())
 }
--- a/crates/basilbank_cli/src/run.rs
+++ b/crates/basilbank_cli/src/run.rs
@@ -5,42 +5,44 @@
 use crate::{
     args::{Command, Invocation},
     check, compare,
-    failure::{Failure, Status},
-    help, key,
-    shell::Shell,
-    show, trace, watch,
+    context::CommandContext,
+    failure::{ExitStatus, Failure},
+    hash_key, help, show, trace, watch,
 };
 
 /// Runs one command. `args` are the command line's without the program's name.
-pub fn run(shell: &mut Shell<'_>, args: Vec<OsString>) -> Status {
-    match Invocation::parse(args, shell.env).and_then(|invocation| start(shell, &invocation)) {
+pub fn run(ctx: &mut CommandContext<'_>, args: Vec<OsString>) -> ExitStatus {
+    match Invocation::parse(args, ctx.env).and_then(|invocation| run_invocation(ctx, &invocation)) {
         Ok(status) => status,
         Err(failure) => {
             let status = failure.status();
-            if status != Status::Ok {
+            if status != ExitStatus::Ok {
                 // With standard error closed there is nobody left to tell; the status says it.
-                let _ = writeln!(shell.err, "basilbank: {failure}");
+                let _ = writeln!(ctx.err, "basilbank: {failure}");
             }
             status
         }
     }
 }
 
-fn start(shell: &mut Shell<'_>, invocation: &Invocation) -> Result<Status, Failure> {
+fn run_invocation(
+    ctx: &mut CommandContext<'_>,
+    invocation: &Invocation,
+) -> Result<ExitStatus, Failure> {
     let options = &invocation.options;
     match &invocation.command {
         Command::Help(topic) => {
-            shell.out.write_all(help::text(*topic).as_bytes())?;
-            Ok(Status::Ok)
+            ctx.out.write_all(help::text(*topic).as_bytes())?;
+            Ok(ExitStatus::Ok)
         }
-        Command::Check { files } => check::run(shell, options, files),
-        Command::Diff { old, new } => compare::files(shell, options, old, new),
-        Command::DryRun { files } => compare::dry_run(shell, options, files),
-        Command::List(list) => show::list(shell, options, *list),
-        Command::Status => show::status(shell, options),
-        Command::Explain { request } => show::explain(shell, options, request),
-        Command::Trace { request, files } => trace::run(shell, options, request, files),
-        Command::Watch(rounds) => watch::run(shell, options, *rounds),
-        Command::HashKey => key::run(shell, options),
+        Command::Check { files } => check::run(ctx, options, files),
+        Command::Diff { old, new } => compare::compare_files(ctx, options, old, new),
+        Command::DryRun { files } => compare::dry_run(ctx, options, files),
+        Command::List(list) => show::list(ctx, options, *list),
+        Command::Status => show::status(ctx, options),
+        Command::Explain { request_id } => show::explain(ctx, options, request_id),
+        Command::Trace { id_or_digest, files } => trace::run(ctx, options, id_or_digest, files),
+        Command::Watch(watch) => watch::run(ctx, options, *watch),
+        Command::HashKey => hash_key::run(ctx, options),
     }
 }
--- a/crates/basilbank_cli/src/show.rs
+++ b/crates/basilbank_cli/src/show.rs
@@ -3,38 +3,46 @@
 use serde_json::Value;
 
 use crate::{
-    admin::Admin,
+    admin::AdminClient,
     args::{Format, List, Options},
-    failure::{Failure, Status},
-    shell::Shell,
-    table::{Flat, render_list, render_object},
+    context::CommandContext,
+    failure::{ExitStatus, Failure},
+    table::{JsonObject, render_list, render_object},
 };
 
 /// Shows a list.
-pub fn list(shell: &mut Shell<'_>, options: &Options, list: List) -> Result<Status, Failure> {
-    let answer = Admin::new(options)?.get(list.name(), list.name())?;
+pub fn list(
+    ctx: &mut CommandContext<'_>,
+    options: &Options,
+    list: List,
+) -> Result<ExitStatus, Failure> {
+    let answer = AdminClient::new(options)?.get(list.name(), list.name())?;
     match options.format {
-        Format::Json => write_json(shell, &answer)?,
-        Format::Table => shell.out.write_all(render_list(&items(&answer)?).as_bytes())?,
+        Format::Json => write_json(ctx, &answer)?,
+        Format::Table => ctx.out.write_all(render_list(&list_items(&answer)?).as_bytes())?,
     }
-    Ok(Status::Ok)
+    Ok(ExitStatus::Ok)
 }
 
 /// Shows the daemon's state.
-pub fn status(shell: &mut Shell<'_>, options: &Options) -> Result<Status, Failure> {
-    let answer = Admin::new(options)?.get("status", "status")?;
-    write_object(shell, options, &answer)
+pub fn status(ctx: &mut CommandContext<'_>, options: &Options) -> Result<ExitStatus, Failure> {
+    let answer = AdminClient::new(options)?.get("status", "status")?;
+    write_object(ctx, options, &answer)
 }
 
 /// Tells what became of a request.
-pub fn explain(shell: &mut Shell<'_>, options: &Options, request: &str) -> Result<Status, Failure> {
+pub fn explain(
+    ctx: &mut CommandContext<'_>,
+    options: &Options,
+    request_id: &str,
+) -> Result<ExitStatus, Failure> {
     // The id becomes part of a path.
-    if request.is_empty() || !request.chars().all(|c| c.is_ascii_alphanumeric()) {
-        return Err(Failure::Usage(format!("{request:?} is not a request's id")));
+    if request_id.is_empty() || !request_id.chars().all(|c| c.is_ascii_alphanumeric()) {
+        return Err(Failure::Usage(format!("{request_id:?} is not a request's id")));
     }
-    let what = format!("request {request}");
-    let answer = Admin::new(options)?.get(&format!("requests/{request}"), &what)?;
-    write_object(shell, options, &answer)
+    let what = format!("request {request_id}");
+    let answer = AdminClient::new(options)?.get(&format!("requests/{request_id}"), &what)?;
+    write_object(ctx, options, &answer)
 }
 
 /// The objects of a list answer.
@@ -42,29 +50,29 @@
 /// # Errors
 ///
 /// The answer is something else.
-pub fn items(answer: &Value) -> Result<Vec<Flat>, Failure> {
+pub fn list_items(answer: &Value) -> Result<Vec<JsonObject>, Failure> {
     let list = answer.get("items").and_then(Value::as_array);
-    let objects: Option<Vec<Flat>> =
+    let objects: Option<Vec<JsonObject>> =
         list.and_then(|list| list.iter().map(|item| item.as_object().cloned()).collect());
     objects.ok_or_else(|| Failure::Unreachable("the daemon's answer is not a list".to_owned()))
 }
 
 /// Prints an answer as JSON.
-pub fn write_json(shell: &mut Shell<'_>, answer: &Value) -> Result<(), Failure> {
-    Ok(writeln!(shell.out, "{answer:#}")?)
+pub fn write_json(ctx: &mut CommandContext<'_>, answer: &Value) -> Result<(), Failure> {
+    Ok(writeln!(ctx.out, "{answer:#}")?)
 }
 
 fn write_object(
-    shell: &mut Shell<'_>,
+    ctx: &mut CommandContext<'_>,
     options: &Options,
     answer: &Value,
-) -> Result<Status, Failure> {
+) -> Result<ExitStatus, Failure> {
     let Some(object) = answer.as_object() else {
         return Err(Failure::Unreachable("the daemon's answer is not an object".to_owned()));
     };
     match options.format {
-        Format::Json => write_json(shell, answer)?,
-        Format::Table => shell.out.write_all(render_object(object).as_bytes())?,
+        Format::Json => write_json(ctx, answer)?,
+        Format::Table => ctx.out.write_all(render_object(object).as_bytes())?,
     }
-    Ok(Status::Ok)
+    Ok(ExitStatus::Ok)
 }
--- a/crates/basilbank_cli/src/table.rs
+++ b/crates/basilbank_cli/src/table.rs
@@ -4,10 +4,10 @@
 use serde_json::{Map, Value};
 
 /// A flat JSON object.
-pub type Flat = Map<String, Value>;
+pub type JsonObject = Map<String, Value>;
 
 /// Columns that come first, in this order; others follow by name.
-const FIRST: &[&str] = &[
+const LEADING_COLUMNS: &[&str] = &[
     "at_ms",
     "event",
     "detail",
@@ -56,7 +56,7 @@
 }
 
 /// One value as a cell. Control characters, which could change the terminal, are replaced.
-pub fn cell(value: &Value) -> String {
+pub fn format_cell(value: &Value) -> String {
     let text = match value {
         Value::Null => "-".to_owned(),
         Value::Bool(true) => "yes".to_owned(),
@@ -64,7 +64,7 @@
         Value::String(text) if text.is_empty() => "-".to_owned(),
         Value::String(text) => text.clone(),
         Value::Array(all) if all.is_empty() => "-".to_owned(),
-        Value::Array(all) => all.iter().map(cell).collect::<Vec<_>>().join(" "),
+        Value::Array(all) => all.iter().map(format_cell).collect::<Vec<_>>().join(" "),
         other => other.to_string(),
     };
     text.chars().map(|c| if c.is_control() { '?' } else { c }).collect()
@@ -72,33 +72,34 @@
 
 /// A list of objects as a table with a head; one line says so when there are none.
 #[must_use]
-pub fn render_list(items: &[Flat]) -> String {
+pub fn render_list(items: &[JsonObject]) -> String {
     if items.is_empty() {
         return "none\n".to_owned();
     }
-    let columns = columns(items);
+    let columns = ordered_columns(items);
     let mut rows = vec![columns.iter().map(|c| c.to_uppercase()).collect::<Vec<_>>()];
-    let of = |item: &Flat, column: &str| item.get(column).map_or("-".to_owned(), cell);
-    rows.extend(items.iter().map(|item| columns.iter().map(|c| of(item, c)).collect()));
-    let right: Vec<bool> = columns
+    let cell_text =
+        |item: &JsonObject, column: &str| item.get(column).map_or("-".to_owned(), format_cell);
+    rows.extend(items.iter().map(|item| columns.iter().map(|c| cell_text(item, c)).collect()));
+    let right_aligned: Vec<bool> = columns
         .iter()
         .map(|c| items.iter().all(|item| item.get(*c).is_none_or(is_number)))
         .collect();
-    align(&rows, &right)
+    align_rows(&rows, &right_aligned)
 }
 
 /// An object as lines of name and value; lists of objects within it follow as tables.
 #[must_use]
-pub fn render_object(object: &Flat) -> String {
+pub fn render_object(object: &JsonObject) -> String {
     let (tables, flat): (Vec<_>, Vec<_>) = object
         .iter()
-        .map(|(name, value)| (name, value, objects(value)))
+        .map(|(name, value)| (name, value, as_objects(value)))
         .partition(|t| t.2.is_some());
     let mut names: Vec<&str> = flat.iter().map(|(name, ..)| name.as_str()).collect();
-    sort(&mut names);
+    sort_columns(&mut names);
     let rows: Vec<_> =
-        names.iter().map(|name| vec![(*name).to_owned(), cell(&object[*name])]).collect();
-    let mut text = align(&rows, &[false, false]);
+        names.iter().map(|name| vec![(*name).to_owned(), format_cell(&object[*name])]).collect();
+    let mut text = align_rows(&rows, &[false, false]);
     for (name, _, items) in tables {
         text.push_str(&format!("\n{name}:\n{}", render_list(&items.unwrap_or_default())));
     }
@@ -106,32 +107,34 @@
 }
 
 /// The objects of a list that holds nothing else.
-fn objects(value: &Value) -> Option<Vec<Flat>> {
+fn as_objects(value: &Value) -> Option<Vec<JsonObject>> {
     let list = value.as_array().filter(|list| !list.is_empty())?;
     list.iter().map(|item| item.as_object().cloned()).collect()
 }
 
-fn columns(items: &[Flat]) -> Vec<&str> {
+fn ordered_columns(items: &[JsonObject]) -> Vec<&str> {
     let mut columns: Vec<&str> = items.iter().flat_map(Map::keys).map(String::as_str).collect();
     columns.sort_unstable();
     columns.dedup();
-    sort(&mut columns);
+    sort_columns(&mut columns);
     columns
 }
 
-fn sort(names: &mut [&str]) {
-    let rank = |name: &str| FIRST.iter().position(|first| *first == name).unwrap_or(FIRST.len());
+fn sort_columns(names: &mut [&str]) {
+    let rank = |name: &str| {
+        LEADING_COLUMNS.iter().position(|first| *first == name).unwrap_or(LEADING_COLUMNS.len())
+    };
     names.sort_by_key(|name| (rank(name), name.to_owned()));
 }
 
-fn align(rows: &[Vec<String>], right: &[bool]) -> String {
+fn align_rows(rows: &[Vec<String>], right_aligned: &[bool]) -> String {
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max();
-    let widths: Vec<usize> = (0..right.len()).filter_map(width).collect();
+    let widths: Vec<usize> = (0..right_aligned.len()).filter_map(width).collect();
     let mut text = String::new();
     for row in rows {
         let mut line = String::new();
-        for ((cell, width), right) in row.iter().zip(&widths).zip(right) {
-            if *right {
+        for ((cell, width), right_aligned) in row.iter().zip(&widths).zip(right_aligned) {
+            if *right_aligned {
                 line.push_str(&format!("{cell:>width$}  "));
             } else {
                 line.push_str(&format!("{cell:<width$}  "));
--- a/crates/basilbank_cli/src/watch.rs
+++ b/crates/basilbank_cli/src/watch.rs
@@ -5,143 +5,148 @@
 use serde_json::{Value, json};
 
 use crate::{
-    admin::Admin,
-    args::{Format, List, Options, Rounds},
-    failure::{Failure, Status},
-    shell::Shell,
-    show::items,
-    table::{Flat, cell},
+    admin::AdminClient,
+    args::{Format, List, Options, WatchOptions},
+    context::CommandContext,
+    failure::{ExitStatus, Failure},
+    show::list_items,
+    table::{JsonObject, format_cell},
 };
 
 /// Lists that are watched beside the status.
-const LISTS: [List; 3] = [List::Endpoints, List::Peers, List::Orders];
+const WATCHED_LISTS: [List; 3] = [List::Endpoints, List::Peers, List::Orders];
 
 /// Fields that tell one object of a list from the others; the first that it has counts.
-const KEYS: [&str; 4] = ["name", "id", "endpoint", "vm"];
+const ID_FIELDS: [&str; 4] = ["name", "id", "endpoint", "vm"];
 
 /// Fields that move all the time, on a daemon that works as it should.
-const RESTLESS: [&str; 4] = ["heartbeat", "held", "queued", "requests"];
+const VOLATILE_FIELDS: [&str; 4] = ["heartbeat", "held", "queued", "requests"];
 
 /// Fields that end like this move too.
-const RESTLESS_ENDS: [&str; 2] = ["_ms", "_s"];
+const VOLATILE_SUFFIXES: [&str; 2] = ["_ms", "_s"];
 
 /// Values by what they belong to: `endpoint writer-d1 running`.
-type Seen = BTreeMap<String, String>;
+type Snapshot = BTreeMap<String, String>;
 
 /// One value that is another than before.
-struct Difference {
+struct Change {
     what: String,
     old: Option<String>,
     new: Option<String>,
 }
 
 /// Asks again and again, and prints what changed.
-pub fn run(shell: &mut Shell<'_>, options: &Options, rounds: Rounds) -> Result<Status, Failure> {
-    let admin = Admin::new(options)?;
-    let mut before: Option<Seen> = None;
-    let mut lost = false;
+pub fn run(
+    ctx: &mut CommandContext<'_>,
+    options: &Options,
+    watch: WatchOptions,
+) -> Result<ExitStatus, Failure> {
+    let admin = AdminClient::new(options)?;
+    let mut previous: Option<Snapshot> = None;
+    let mut is_unreachable = false;
     let mut round = 0;
     loop {
         round += 1;
-        match look(&admin) {
-            Ok(seen) => {
-                if lost {
-                    write(shell, options, &reached("no", "yes"))?;
+        match take_snapshot(&admin) {
+            Ok(snapshot) => {
+                if is_unreachable {
+                    write_changes(ctx, options, &reachability_change("no", "yes"))?;
                 }
-                lost = false;
-                match &before {
-                    Some(before) => write(shell, options, &differences(before, &seen))?,
-                    None => write(shell, options, &reached("-", "yes"))?,
+                is_unreachable = false;
+                match &previous {
+                    Some(old) => write_changes(ctx, options, &diff_snapshots(old, &snapshot))?,
+                    None => write_changes(ctx, options, &reachability_change("-", "yes"))?,
                 }
-                before = Some(seen);
+                previous = Some(snapshot);
             }
             Err(Failure::Unreachable(message)) => {
-                if !lost {
-                    writeln!(shell.err, "basilbank: {message}")?;
-                    write(
-                        shell,
+                if !is_unreachable {
+                    writeln!(ctx.err, "basilbank: {message}")?;
+                    write_changes(
+                        ctx,
                         options,
-                        &reached(if before.is_some() { "yes" } else { "-" }, "no"),
+                        &reachability_change(if previous.is_some() { "yes" } else { "-" }, "no"),
                     )?;
                 }
-                lost = true;
+                is_unreachable = true;
             }
-            Err(other) => return Err(other),
+            Err(failure) => return Err(failure),
         }
-        if rounds.count.is_some_and(|count| count <= round) {
-            return Ok(if lost { Status::Unreachable } else { Status::Ok });
+        if watch.count.is_some_and(|count| count <= round) {
+            return Ok(if is_unreachable { ExitStatus::Unreachable } else { ExitStatus::Ok });
         }
-        (shell.sleep)(rounds.interval);
+        (ctx.sleep)(watch.interval);
     }
 }
 
-fn reached(old: &str, new: &str) -> Vec<Difference> {
+fn reachability_change(old: &str, new: &str) -> Vec<Change> {
     let what = "daemon reached".to_owned();
-    vec![Difference { what, old: Some(old.to_owned()), new: Some(new.to_owned()) }]
+    vec![Change { what, old: Some(old.to_owned()), new: Some(new.to_owned()) }]
 }
 
-fn look(admin: &Admin) -> Result<Seen, Failure> {
-    let mut seen = Seen::new();
+fn take_snapshot(admin: &AdminClient) -> Result<Snapshot, Failure> {
+    let mut snapshot = Snapshot::new();
     let status = admin.get("status", "status")?;
     for (field, value) in status.as_object().into_iter().flatten() {
-        note(&mut seen, "status", field, value);
+        record_value(&mut snapshot, "status", field, value);
     }
-    for list in LISTS {
-        for item in items(&admin.get(list.name(), list.name())?)? {
-            note_item(&mut seen, list, &item);
+    for list in WATCHED_LISTS {
+        for item in list_items(&admin.get(list.name(), list.name())?)? {
+            record_item(&mut snapshot, list, &item);
         }
     }
-    Ok(seen)
+    Ok(snapshot)
 }
 
-fn note_item(seen: &mut Seen, list: List, item: &Flat) {
-    let key = KEYS.iter().find_map(|key| item.get(*key)).map_or("-".to_owned(), cell);
+fn record_item(snapshot: &mut Snapshot, list: List, item: &JsonObject) {
+    let key = ID_FIELDS.iter().find_map(|key| item.get(*key)).map_or("-".to_owned(), format_cell);
     let what = format!("{} {key}", list.name());
     for (field, value) in item {
-        note(seen, &what, field, value);
+        record_value(snapshot, &what, field, value);
     }
 }
 
-fn note(seen: &mut Seen, what: &str, field: &str, value: &Value) {
-    let restless = RESTLESS.contains(&field) || RESTLESS_ENDS.iter().any(|e| field.ends_with(e));
-    if !restless {
-        seen.insert(format!("{what} {field}"), cell(value));
+fn record_value(snapshot: &mut Snapshot, what: &str, field: &str, value: &Value) {
+    let is_volatile =
+        VOLATILE_FIELDS.contains(&field) || VOLATILE_SUFFIXES.iter().any(|e| field.ends_with(e));
+    if !is_volatile {
+        snapshot.insert(format!("{what} {field}"), format_cell(value));
     }
 }
 
-fn differences(before: &Seen, after: &Seen) -> Vec<Difference> {
-    let mut all = Vec::new();
-    for (what, old) in before {
-        let new = after.get(what);
+fn diff_snapshots(previous: &Snapshot, current: &Snapshot) -> Vec<Change> {
+    let mut changes = Vec::new();
+    for (what, old) in previous {
+        let new = current.get(what);
         if new != Some(old) {
-            all.push(Difference { what: what.clone(), old: Some(old.clone()), new: new.cloned() });
+            changes.push(Change { what: what.clone(), old: Some(old.clone()), new: new.cloned() });
         }
     }
-    for (what, new) in after.iter().filter(|(what, _)| !before.contains_key(*what)) {
-        all.push(Difference { what: what.clone(), old: None, new: Some(new.clone()) });
+    for (what, new) in current.iter().filter(|(what, _)| !previous.contains_key(*what)) {
+        changes.push(Change { what: what.clone(), old: None, new: Some(new.clone()) });
     }
-    all.sort_by(|a, b| a.what.cmp(&b.what));
-    all
+    changes.sort_by(|a, b| a.what.cmp(&b.what));
+    changes
 }
 
-fn write(shell: &mut Shell<'_>, options: &Options, all: &[Difference]) -> Result<(), Failure> {
-    for Difference { what, old, new } in all {
+fn write_changes(
+    ctx: &mut CommandContext<'_>,
+    options: &Options,
+    changes: &[Change],
+) -> Result<(), Failure> {
+    for Change { what, old, new } in changes {
         match options.format {
             Format::Json => {
                 let at = unix_seconds();
-                writeln!(
-                    shell.out,
-                    "{}",
-                    json!({ "at": at, "what": what, "old": old, "new": new })
-                )?;
+                writeln!(ctx.out, "{}", json!({ "at": at, "what": what, "old": old, "new": new }))?;
             }
             Format::Table => {
                 let text = |side: &Option<String>| side.clone().unwrap_or("-".to_owned());
-                writeln!(shell.out, "{what}: {} -> {}", text(old), text(new))?;
+                writeln!(ctx.out, "{what}: {} -> {}", text(old), text(new))?;
             }
         }
     }
-    shell.out.flush()?;
+    ctx.out.flush()?;
     Ok(())
 }
 
--- a/crates/basilbank_cli/tests/commands/common.rs
+++ b/crates/basilbank_cli/tests/commands/common.rs
@@ -6,12 +6,12 @@
     sync::{Arc, Mutex, mpsc::Sender},
 };
 
-use basilbank_cli::{Shell, Status, run};
+use basilbank_cli::{CommandContext, ExitStatus, run};
 use rouille::{Response, Server};
 
 /// A request as it came in.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The `Authorization` header.
     pub authorization: String,
     /// The body.
@@ -19,55 +19,55 @@
 }
 
 /// Answers by method and path, until it is dropped.
-pub struct Daemon {
+pub struct FakeDaemon {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub received: Arc<Mutex<Vec<ReceivedRequest>>>,
     _stop: Sender<()>,
 }
 
 /// Gives the status and body of an answer to a method and path.
-pub type Answer = dyn FnMut(&str) -> (u16, String) + Send;
+pub type AnswerFn = dyn FnMut(&str) -> (u16, String) + Send;
 
-impl Daemon {
-    pub fn start(answer: Box<Answer>) -> Daemon {
-        let (answer, seen) = (Mutex::new(answer), Arc::new(Mutex::new(Vec::new())));
-        let all = Arc::clone(&seen);
+impl FakeDaemon {
+    pub fn start(answer: Box<AnswerFn>) -> FakeDaemon {
+        let (answer, received) = (Mutex::new(answer), Arc::new(Mutex::new(Vec::new())));
+        let received_by_server = Arc::clone(&received);
         let server = Server::new("127.0.0.1:0", move |request| {
             let line = format!("{} {}", request.method(), request.raw_url());
             let authorization = request.header("authorization").unwrap_or_default().to_owned();
             let mut body = String::new();
             request.data().unwrap().read_to_string(&mut body).unwrap();
             let (status, text) = answer.lock().unwrap()(&line);
-            all.lock().unwrap().push(Seen { authorization, body });
+            received_by_server.lock().unwrap().push(ReceivedRequest { authorization, body });
             Response::text(text).with_status_code(status)
         });
         let server = server.unwrap();
         let address = server.server_addr();
         let (_, _stop) = server.stoppable();
-        Daemon { address, seen, _stop }
+        FakeDaemon { address, received, _stop }
     }
 }
 
 /// What a command printed, and its status.
 #[derive(Debug)]
-pub struct Ran {
-    pub status: Status,
+pub struct CommandOutput {
+    pub status: ExitStatus,
     pub out: String,
     pub err: String,
 }
 
 /// Runs a command with standard input and environment given.
-pub fn command(args: &[&str], input: &str, env: &[(&str, &str)]) -> Ran {
+pub fn run_command(args: &[&str], input: &str, env: &[(&str, &str)]) -> CommandOutput {
     let (mut out, mut err) = (Vec::new(), Vec::new());
-    let look = |name: &str| env.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
-    let mut shell = Shell {
+    let get_env = |name: &str| env.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
+    let mut ctx = CommandContext {
         input: &mut input.as_bytes(),
         out: &mut out,
         err: &mut err,
-        env: &look,
+        env: &get_env,
         sleep: &|_| {},
     };
-    let status = run(&mut shell, args.iter().map(Into::into).collect());
+    let status = run(&mut ctx, args.iter().map(Into::into).collect());
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    Ran { status, out: text(out), err: text(err) }
+    CommandOutput { status, out: text(out), err: text(err) }
 }
--- a/crates/basilbank_cli/tests/commands/files.rs
+++ b/crates/basilbank_cli/tests/commands/files.rs
@@ -1,65 +1,66 @@
 //! Commands that work on files and on the command line alone.
 
-use basilbank_cli::Status;
+use basilbank_cli::ExitStatus;
 use test_case::test_case;
 
-use crate::common::command;
+use crate::common::run_command;
 
-const OFFICE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/office.jsonc");
-const NEW: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/office-new.jsonc");
-const BROKEN: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/broken.jsonc");
+const CATALOGUE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/office.jsonc");
+const CHANGED_CATALOGUE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/office-new.jsonc");
+const INVALID_CATALOGUE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/broken.jsonc");
 const SETTINGS: &str =
     concat!(env!("CARGO_MANIFEST_DIR"), "/../basilbank_config/examples/settings.jsonc");
 
 #[test]
-fn check_says_which_file_is_what() {
-    let ran = command(&["check", SETTINGS, OFFICE], "", &[]);
-    let expected = format!("{SETTINGS}: settings, 0 findings\n{OFFICE}: catalogue, 0 findings\n");
-    assert_eq!((ran.out, ran.status), (expected, Status::Ok));
+fn check_prints_the_kind_of_each_file() {
+    let output = run_command(&["check", SETTINGS, CATALOGUE], "", &[]);
+    let expected =
+        format!("{SETTINGS}: settings, 0 findings\n{CATALOGUE}: catalogue, 0 findings\n");
+    assert_eq!((output.out, output.status), (expected, ExitStatus::Ok));
 }
 
 #[test]
 fn check_prints_findings() {
-    let ran = command(&["check", BROKEN], "", &[]);
-    let lines: Vec<_> = ran.out.lines().collect();
+    let output = run_command(&["check", INVALID_CATALOGUE], "", &[]);
+    let lines: Vec<_> = output.out.lines().collect();
     assert_eq!(
         lines[0],
         format!(
-            "{BROKEN}:2:13: error: the team has no \"name\"; add \"name\": \"fitters\", for example"
+            "{INVALID_CATALOGUE}:2:13: error: the team has no \"name\"; add \"name\": \"fitters\", for example"
         )
     );
-    assert!(lines[1].starts_with(&format!("{BROKEN}:2:15: error: ")), "{}", lines[1]);
-    assert_eq!(lines[2], format!("{BROKEN}: catalogue, 2 findings"));
-    assert_eq!(ran.status, Status::Found);
+    assert!(lines[1].starts_with(&format!("{INVALID_CATALOGUE}:2:15: error: ")), "{}", lines[1]);
+    assert_eq!(lines[2], format!("{INVALID_CATALOGUE}: catalogue, 2 findings"));
+    assert_eq!(output.status, ExitStatus::InvalidOrNotFound);
 }
 
 /// Symptom: a catalogue in two files is called sound though a name is in both. Cause: each file was
 /// checked by itself.
 #[test]
-fn check_takes_documents_together() {
-    let ran = command(&["check", OFFICE, NEW, "--json"], "", &[]);
-    let answer: serde_json::Value = serde_json::from_str(&ran.out).unwrap();
+fn check_validates_documents_together() {
+    let output = run_command(&["check", CATALOGUE, CHANGED_CATALOGUE, "--json"], "", &[]);
+    let answer: serde_json::Value = serde_json::from_str(&output.out).unwrap();
     assert_eq!(answer["findings"].as_array().unwrap().len(), 2);
     assert_eq!(answer["findings"][0]["severity"], "error");
     assert_eq!(answer["files"][1]["kind"], "catalogue");
-    assert_eq!(ran.status, Status::Found);
+    assert_eq!(output.status, ExitStatus::InvalidOrNotFound);
 }
 
 #[test]
-fn diff_of_files() {
-    let ran = command(&["diff", OFFICE, "--", NEW], "", &[]);
+fn diff_compares_files() {
+    let output = run_command(&["diff", CATALOGUE, "--", CHANGED_CATALOGUE], "", &[]);
     let expected = "~ class lookup: ttft_ms 150 -> 120; changes 0 entries' promise\n1 changes\n";
-    assert_eq!((ran.out.as_str(), ran.status), (expected, Status::Ok));
-    let ran = command(&["diff", OFFICE, "--", BROKEN], "", &[]);
-    assert_eq!((ran.out.lines().count(), ran.status), (2, Status::Found));
+    assert_eq!((output.out.as_str(), output.status), (expected, ExitStatus::Ok));
+    let output = run_command(&["diff", CATALOGUE, "--", INVALID_CATALOGUE], "", &[]);
+    assert_eq!((output.out.lines().count(), output.status), (2, ExitStatus::InvalidOrNotFound));
 }
 
 #[test]
-fn hash_key_is_the_keys_sha256() {
+fn hash_key_prints_the_sha256_of_the_key() {
     // printf %s abc | sha256sum
     let expected = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad\n";
     for input in ["abc", "abc\n", "abc\r\n"] {
-        assert_eq!(command(&["hash-key"], input, &[]).out, expected);
+        assert_eq!(run_command(&["hash-key"], input, &[]).out, expected);
     }
 }
 
@@ -68,10 +69,10 @@
 #[test_case("two words"; "blank")]
 #[test_case("one\ntwo\n"; "two lines")]
 #[test_case("nyckel-å"; "beyond ascii")]
-fn hash_key_refuses(input: &str) {
-    let ran = command(&["hash-key"], input, &[]);
-    assert_eq!((ran.status, ran.out.as_str()), (Status::Usage, ""));
-    assert!(input.len() < 3 || !ran.err.contains(input));
+fn hash_key_refuses_invalid_keys(input: &str) {
+    let output = run_command(&["hash-key"], input, &[]);
+    assert_eq!((output.status, output.out.as_str()), (ExitStatus::Usage, ""));
+    assert!(input.len() < 3 || !output.err.contains(input));
 }
 
 #[test_case(&[], "no command"; "nothing")]
@@ -87,15 +88,15 @@
 #[test_case(&["status", "--count", "3"], "go with `watch`"; "count without watch")]
 #[test_case(&["watch", "--interval", "0"], "seconds from 0.1"; "no interval")]
 #[test_case(&["status", "--key-file", "nowhere.key"], "nowhere.key: "; "missing key file")]
-fn wrong_use(args: &[&str], part: &str) {
-    let ran = command(args, "", &[]);
-    assert_eq!(ran.status, Status::Usage);
-    assert!(ran.err.contains(part), "{}", ran.err);
+fn invalid_command_lines_are_refused(args: &[&str], expected: &str) {
+    let output = run_command(args, "", &[]);
+    assert_eq!(output.status, ExitStatus::Usage);
+    assert!(output.err.contains(expected), "{}", output.err);
 }
 
 #[test]
 fn every_command_has_help() {
-    let overview = command(&["--help"], "", &[]).out;
+    let overview = run_command(&["--help"], "", &[]).out;
     for name in [
         "check",
         "diff",
@@ -110,8 +111,8 @@
         "watch",
     ] {
         assert!(overview.contains(&format!("\n  {name} ")), "{name} isn't in the overview");
-        let ran = command(&[name, "--help"], "", &[]);
-        assert!(ran.out.starts_with(&format!("usage: basilbank {name}")), "{}", ran.out);
-        assert_eq!(ran.status, Status::Ok);
+        let output = run_command(&[name, "--help"], "", &[]);
+        assert!(output.out.starts_with(&format!("usage: basilbank {name}")), "{}", output.out);
+        assert_eq!(output.status, ExitStatus::Ok);
     }
 }
--- a/crates/basilbank_cli/tests/commands/main.rs
+++ b/crates/basilbank_cli/tests/commands/main.rs
@@ -1,7 +1,7 @@
 //! Commands, run as `main` runs them.
 
+mod admin_api;
 mod common;
-mod daemon;
 mod files;
-mod real;
+mod real_daemon;
 mod trace;
