--- a/crates/basilbank_cli/src/admin.rs
+++ b/crates/basilbank_cli/src/admin.rs
@@ -1,4 +1,4 @@
-//! The daemon's admin API.
+//! Client of the daemon's admin API.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use crate::{args::Options, failure::Failure, table::format_cell};
 
-/// A daemon that takes longer is as good as unreachable.
+/// Maximum time of a request, after which the daemon counts as unreachable.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Most bytes of an answer: a list of 10,000 teams has some megabytes.
+/// Maximum size of an answer. A list of 10,000 teams takes a few megabytes.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
-/// Most bytes of an answer that says why not.
+/// Maximum size of the body of an error answer.
 const MAX_ERROR_BODY_BYTES: u64 = 64 << 10;
 
-/// A daemon's admin API.
+/// Client of one daemon's admin API.
 #[derive(Debug)]
 pub struct AdminClient {
     agent: Agent,
@@ -25,11 +25,11 @@
 }
 
 impl AdminClient {
-    /// The daemon that the options name.
+    /// Creates a client for the daemon that the options name.
     ///
     /// # Errors
     ///
-    /// They name none.
+    /// Returns an error if the options name no daemon.
     pub fn new(options: &Options) -> Result<AdminClient, Failure> {
         let Some(admin) = &options.admin else {
             let message = "no daemon is named: give --admin URL or set BASILBANK_ADMIN";
@@ -37,7 +37,7 @@
         };
         let admin = admin.trim_end_matches('/');
         let base = if admin.contains("://") { admin.to_owned() } else { format!("http://{admin}") };
-        // The key must not go to a proxy that some variable of the environment names.
+        // Without `proxy(None)` the key could go to a proxy that an environment variable names.
         let config = Agent::config_builder()
             .timeout_global(Some(REQUEST_TIMEOUT))
             .http_status_as_error(false)
@@ -47,11 +47,12 @@
         Ok(AdminClient { agent: Agent::new_with_config(config), base, key: options.key.clone() })
     }
 
-    /// Reads a path under `/admin/`.
+    /// Requests a path under `/admin/`.
     ///
     /// # Errors
     ///
-    /// `NotFound` with `what` when the daemon says so; others.
+    /// Returns `NotFound` with `what` if the daemon answers 404, and another failure if the daemon
+    /// can't be reached, refuses the key or request, or sends an invalid answer.
     pub fn get(&self, path: &str, what: &str) -> Result<Value, Failure> {
         let mut request = self.agent.get(format!("{}/admin/{path}", self.base));
         if let Some(key) = &self.key {
@@ -65,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// Like `get`.
+    /// Returns the same errors as `get`.
     pub fn post(&self, path: &str, body: &Value) -> Result<Value, Failure> {
         let mut request = self.agent.post(format!("{}/admin/{path}", self.base));
         if let Some(key) = &self.key {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The reason that an answer other than 200 gives, if it gives one.
+    /// Formats the `error` field of an answer with a status other than 200, if it has one.
     fn error_message(&self, answer: &mut Response<Body>) -> String {
         let text = answer.body_mut().with_config().limit(MAX_ERROR_BODY_BYTES).read_to_string();
         let body: Option<Value> = text.ok().and_then(|text| serde_json::from_str(&text).ok());
--- a/crates/basilbank_cli/src/args.rs
+++ b/crates/basilbank_cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command line.
 
 use std::{ffi::OsString, fs, time::Duration};
 
@@ -6,10 +6,10 @@
 
 use crate::failure::Failure;
 
-/// Time between two rounds of `watch` when none is given.
+/// Default time between two polls of `watch`.
 const DEFAULT_WATCH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How output looks.
+/// Output format.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Format {
     /// Aligned tables.
@@ -18,47 +18,47 @@
     Json,
 }
 
-/// What all commands take.
+/// Options that all commands accept.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Options {
-    /// The daemon's admin address.
+    /// Admin address of the daemon.
     pub admin: Option<String>,
-    /// The operators' key.
+    /// Admin key of the daemon.
     pub key: Option<String>,
-    /// How output looks.
+    /// Output format.
     pub format: Format,
 }
 
-/// A list that the admin API has.
+/// A list that the admin API serves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum List {
     /// Entries of the catalogue in force.
     Catalogue,
-    /// Endpoints.
+    /// Endpoints with their slots and health.
     Endpoints,
-    /// Teams.
+    /// Teams with their requests in progress.
     Teams,
-    /// Peers.
+    /// VMs of the system.
     Peers,
-    /// Requests in progress, and some that ended.
+    /// Requests in progress, and some recently ended ones.
     Requests,
-    /// Orders to endpoints.
+    /// Steering orders to endpoints.
     Orders,
 }
 
-/// How often `watch` looks.
+/// How often and how many times `watch` polls.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct WatchOptions {
-    /// Rounds before it ends; `None` for no end.
+    /// Number of polls before `watch` ends; `None` if it runs until it is interrupted.
     pub count: Option<u64>,
-    /// Time between two rounds.
+    /// Time between two polls.
     pub interval: Duration,
 }
 
-/// What a help text is about.
+/// Subject of a help text.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Topic {
-    /// The whole.
+    /// All commands.
     Overview,
     /// `check`
     Check,
@@ -66,7 +66,7 @@
     Diff,
     /// `status`
     Status,
-    /// A list
+    /// One of the lists.
     List(List),
     /// `explain`
     Explain,
@@ -78,61 +78,61 @@
     HashKey,
 }
 
-/// One command.
+/// A command with its arguments.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Command {
-    /// Tell how a command is used.
+    /// Prints a help text.
     Help(Topic),
-    /// Check texts.
+    /// Checks settings and catalogue documents.
     Check {
-        /// The files.
+        /// Files to check.
         files: Vec<String>,
     },
-    /// Compare two catalogues.
+    /// Compares two catalogues.
     Diff {
-        /// The one catalogue's files.
+        /// Documents of the old catalogue.
         old: Vec<String>,
-        /// The other's.
+        /// Documents of the new catalogue.
         new: Vec<String>,
     },
-    /// Compare a catalogue with the one that a daemon has in force.
+    /// Has a daemon compare a catalogue with the one it has in force.
     DryRun {
-        /// The catalogue's files.
+        /// Documents of the catalogue.
         files: Vec<String>,
     },
-    /// Show the daemon's state.
+    /// Shows the state of the daemon.
     Status,
-    /// Show a list.
+    /// Shows a list.
     List(List),
-    /// Tell what became of a request.
+    /// Shows the events of a request.
     Explain {
-        /// Its id.
+        /// Id that the daemon gave the request.
         request_id: String,
     },
-    /// Show a request's way by logs.
+    /// Shows a request as it appears in the logs of daemons.
     Trace {
-        /// Its id at the caller.
+        /// Id of the request at the caller, or its digest.
         id_or_digest: String,
-        /// The logs.
+        /// Log files; `-` is standard input.
         files: Vec<String>,
     },
-    /// Show changes as they happen.
+    /// Polls the daemon and shows changes.
     Watch(WatchOptions),
-    /// Hash a bearer key.
+    /// Hashes a bearer key.
     HashKey,
 }
 
-/// A command with its options.
+/// A parsed command line.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Invocation {
-    /// The options.
+    /// Options common to all commands.
     pub options: Options,
-    /// The command.
+    /// Command to run.
     pub command: Command,
 }
 
 impl List {
-    /// Its name, on the command line and in the admin API.
+    /// Returns the name of the list, which is the same on the command line and in the admin API.
     pub fn name(self) -> &'static str {
         match self {
             List::Catalogue => "catalogue",
@@ -146,16 +146,16 @@
 }
 
 impl Invocation {
-    /// Reads a command line.
+    /// Parses a command line.
     ///
     /// # Errors
     ///
-    /// The command line is wrong, or the key's file can't be read.
+    /// Returns an error if the command line is invalid or the key file can't be read.
     pub fn parse(
         mut args: Vec<OsString>,
         env: &dyn Fn(&str) -> Option<String>,
     ) -> Result<Invocation, Failure> {
-        // Only `diff` has a second list of files.
+        // `--` separates the two lists of files of `diff`; no other command accepts it.
         let after_separator = args.iter().position(|arg| arg == "--").map(|at| args.split_off(at));
         let mut args = Arguments::from_vec(args);
         let help = args.contains(["-h", "--help"]);
@@ -211,7 +211,7 @@
     Ok(Options { admin: admin.or_else(|| env("BASILBANK_ADMIN")), key, format })
 }
 
-/// Reads a file that the command line names.
+/// Reads a file that is given on the command line.
 pub fn read_file(name: &str) -> Result<String, Failure> {
     fs::read_to_string(name).map_err(|error| Failure::File { name: name.to_owned(), error })
 }
--- a/crates/basilbank_cli/src/check.rs
+++ b/crates/basilbank_cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`
+//! The command `check`: checks settings and catalogue documents.
 
 use basilbank_config::{Document, Finding, Settings, TextKind, check_catalogue};
 use serde_json::{Value, json};
@@ -10,14 +10,14 @@
     show::write_json,
 };
 
-/// A file and what it is.
+/// A file to check.
 struct InputFile {
     name: String,
     text: String,
     kind: TextKind,
 }
 
-/// Checks files.
+/// Checks files and prints the findings.
 pub fn run(
     ctx: &mut CommandContext<'_>,
     options: &Options,
@@ -43,7 +43,7 @@
     Ok(exit_status(&findings))
 }
 
-/// The documents of a catalogue that files hold.
+/// Reads the documents of a catalogue from files.
 pub fn read_documents(names: &[String]) -> Result<Vec<Document>, Failure> {
     let read = |name: &String| {
         Ok(Document { key: name.clone(), text: Some(read_file(name)?), revision: 0 })
@@ -51,7 +51,7 @@
     names.iter().map(read).collect()
 }
 
-/// Prints findings, one a line.
+/// Prints findings, one per line.
 pub fn write_findings(ctx: &mut CommandContext<'_>, findings: &[Finding]) -> Result<(), Failure> {
     for finding in findings {
         writeln!(ctx.out, "{finding}")?;
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Findings as the admin API gives them.
+/// Converts findings to the JSON format of the admin API.
 pub fn findings_to_json(findings: &[Finding]) -> Value {
     let finding_to_json = |f: &Finding| {
         json!({
@@ -74,7 +74,7 @@
     findings.iter().map(finding_to_json).collect()
 }
 
-/// The status that findings come to: warnings alone are well.
+/// Returns the exit status for findings. Warnings alone are a success.
 pub fn exit_status(findings: &[Finding]) -> ExitStatus {
     let has_errors = findings.iter().any(|f| f.severity == basilbank_config::Severity::Error);
     if has_errors { ExitStatus::InvalidOrNotFound } else { ExitStatus::Ok }
@@ -86,7 +86,7 @@
     Ok(InputFile { name: name.to_owned(), text, kind })
 }
 
-/// Each settings file is checked by itself, all documents of the catalogue are checked together.
+/// Checks each settings file by itself, and all catalogue documents together as one catalogue.
 fn check_files(files: &[InputFile]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut documents = Vec::new();
--- a/crates/basilbank_cli/src/compare.rs
+++ b/crates/basilbank_cli/src/compare.rs
@@ -1,4 +1,4 @@
-//! `diff`
+//! The command `diff`: compares catalogues.
 
 use basilbank_config::{Finding, check_catalogue, diff};
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
     table::{JsonObject, format_cell},
 };
 
-/// Compares two catalogues that files hold.
+/// Compares two catalogues that are read from files.
 pub fn compare_files(
     ctx: &mut CommandContext<'_>,
     options: &Options,
@@ -42,7 +42,7 @@
     Ok(exit_status(&findings))
 }
 
-/// Has a daemon compare a catalogue with the one that it has in force.
+/// Has a daemon compare a catalogue with the one it has in force. Changes nothing there.
 pub fn dry_run(
     ctx: &mut CommandContext<'_>,
     options: &Options,
@@ -84,7 +84,7 @@
     Ok((findings.ok_or_else(invalid_answer)?, list("changes")?.iter().map(format_cell).collect()))
 }
 
-/// A finding of the daemon's, written as `check` writes one.
+/// Formats a finding from the daemon's answer in the way `check` prints findings.
 fn format_finding(finding: &JsonObject) -> String {
     let text = |name: &str| finding.get(name).map_or("-".to_owned(), format_cell);
     let position = format!("{}:{}:{}", text("file"), text("line"), text("column"));
--- a/crates/basilbank_cli/src/context.rs
+++ b/crates/basilbank_cli/src/context.rs
@@ -1,4 +1,4 @@
-//! What a command works with.
+//! The streams and functions that a command uses to reach its environment.
 
 use std::{
     fmt,
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-/// What a command reads from and writes to.
+/// Input, output, environment and clock of a command. Tests replace them.
 pub struct CommandContext<'a> {
     /// Standard input.
     pub input: &'a mut dyn Read,
@@ -14,9 +14,9 @@
     pub out: &'a mut dyn Write,
     /// Standard error.
     pub err: &'a mut dyn Write,
-    /// Looks an environment variable up.
+    /// Returns the value of an environment variable.
     pub env: &'a dyn Fn(&str) -> Option<String>,
-    /// Waits.
+    /// Blocks for a duration.
     pub sleep: &'a dyn Fn(Duration),
 }
 
--- a/crates/basilbank_cli/src/failure.rs
+++ b/crates/basilbank_cli/src/failure.rs
@@ -1,22 +1,22 @@
-//! How a command ends.
+//! Exit status and errors of commands.
 
 use std::{fmt, io};
 
-/// The exit status.
+/// Exit status of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExitStatus {
-    /// All went well.
+    /// The command succeeded.
     Ok,
-    /// Texts have errors, or what was asked for isn't there.
+    /// A document or settings file has errors, or the requested object does not exist.
     InvalidOrNotFound,
-    /// The command line, a file named on it or the key is wrong.
+    /// The command line is invalid, a file can't be read, or the key is refused.
     Usage,
-    /// The daemon can't be reached, or gave no proper answer.
+    /// The daemon can't be reached, or its answer is invalid.
     Unreachable,
 }
 
 impl ExitStatus {
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
@@ -28,37 +28,37 @@
     }
 }
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
     /// A file can't be read.
     File {
-        /// Its name.
+        /// Name of the file as given on the command line, or `standard input`.
         name: String,
-        /// Why.
+        /// Error of the read.
         error: io::Error,
     },
-    /// The daemon does not take the key.
+    /// The daemon refuses the key.
     KeyRefused,
-    /// The daemon has no such thing.
+    /// The requested object does not exist.
     NotFound(String),
-    /// The daemon can't be reached, or gave no proper answer.
+    /// The daemon can't be reached, or its answer is invalid.
     Unreachable(String),
-    /// Nobody reads the output any more.
+    /// Standard input can't be read, or an output stream can't be written.
     Output(io::Error),
 }
 
 impl Failure {
-    /// The exit status that goes with it.
+    /// Returns the exit status for this failure.
     #[must_use]
     pub fn status(&self) -> ExitStatus {
         match self {
             Failure::Usage(_) | Failure::File { .. } | Failure::KeyRefused => ExitStatus::Usage,
             Failure::NotFound(_) => ExitStatus::InvalidOrNotFound,
             Failure::Unreachable(_) => ExitStatus::Unreachable,
-            // A reader like `head` that has seen enough is no failure.
+            // A reader such as `head` closes the pipe once it has enough lines: this is no failure.
             Failure::Output(error) if error.kind() == io::ErrorKind::BrokenPipe => ExitStatus::Ok,
             Failure::Output(_) => ExitStatus::Usage,
         }
--- a/crates/basilbank_cli/src/hash_key.rs
+++ b/crates/basilbank_cli/src/hash_key.rs
@@ -1,4 +1,4 @@
-//! `hash-key`
+//! The command `hash-key`: prints the hash of a bearer key.
 
 use std::io::Read as _;
 
@@ -12,10 +12,10 @@
     show::write_json,
 };
 
-/// Longest key: a caller's headers are limited too.
+/// Maximum length of a key. The headers of a caller, which carry the key, are limited too.
 const MAX_KEY_BYTES: u64 = 4096;
 
-/// Reads a key and prints its hash.
+/// Reads a key from standard input and prints its hash.
 pub fn run(ctx: &mut CommandContext<'_>, options: &Options) -> Result<ExitStatus, Failure> {
     let mut text = String::new();
     let mut input = ctx.input.take(MAX_KEY_BYTES + 1);
@@ -23,8 +23,8 @@
     read.map_err(|error| Failure::File { name: "standard input".to_owned(), error })?;
     let key = text.strip_suffix('\n').unwrap_or(&text);
     let key = key.strip_suffix('\r').unwrap_or(key);
-    // A key with a blank or a line break in it can't be sent in a header: its hash would lock the
-    // team out, and only a refused call would show it.
+    // A key that contains a space or a line break can't be sent in a header. With its hash in the
+    // catalogue the team would be locked out, and only a refused call would show it.
     let is_valid = !key.is_empty() && key.chars().all(|c| c.is_ascii_graphic());
     if !is_valid || MAX_KEY_BYTES < text.len() as u64 {
         let message =
--- a/crates/basilbank_cli/src/main.rs
+++ b/crates/basilbank_cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The operators' command. All of it is in the library, so that tests can call it.
+//! Entry point of the operators' command. The commands are in the library, so that tests can call
+//! them.
 
 use std::{env, io, process::ExitCode, thread};
 
--- a/crates/basilbank_cli/src/run.rs
+++ b/crates/basilbank_cli/src/run.rs
@@ -1,4 +1,4 @@
-//! Which command runs.
+//! Dispatch of commands.
 
 use std::ffi::OsString;
 
@@ -10,14 +10,14 @@
     hash_key, help, show, trace, watch,
 };
 
-/// Runs one command. `args` are the command line's without the program's name.
+/// Runs a command and returns its exit status. `args` is the command line without the program name.
 pub fn run(ctx: &mut CommandContext<'_>, args: Vec<OsString>) -> ExitStatus {
     match Invocation::parse(args, ctx.env).and_then(|invocation| run_invocation(ctx, &invocation)) {
         Ok(status) => status,
         Err(failure) => {
             let status = failure.status();
             if status != ExitStatus::Ok {
-                // With standard error closed there is nobody left to tell; the status says it.
+                // If standard error is closed, the exit status still reports the failure.
                 let _ = writeln!(ctx.err, "basilbank: {failure}");
             }
             status
--- a/crates/basilbank_cli/src/show.rs
+++ b/crates/basilbank_cli/src/show.rs
@@ -1,4 +1,4 @@
-//! `status`, `explain` and the lists.
+//! The commands that show an answer of the admin API: `status`, `explain` and the lists.
 
 use serde_json::Value;
 
@@ -24,19 +24,19 @@
     Ok(ExitStatus::Ok)
 }
 
-/// Shows the daemon's state.
+/// Shows the state of the daemon.
 pub fn status(ctx: &mut CommandContext<'_>, options: &Options) -> Result<ExitStatus, Failure> {
     let answer = AdminClient::new(options)?.get("status", "status")?;
     write_object(ctx, options, &answer)
 }
 
-/// Tells what became of a request.
+/// Shows the events of a request.
 pub fn explain(
     ctx: &mut CommandContext<'_>,
     options: &Options,
     request_id: &str,
 ) -> Result<ExitStatus, Failure> {
-    // The id becomes part of a path.
+    // The id becomes part of a URL path, so other characters could address another resource.
     if request_id.is_empty() || !request_id.chars().all(|c| c.is_ascii_alphanumeric()) {
         return Err(Failure::Usage(format!("{request_id:?} is not a request's id")));
     }
@@ -45,11 +45,11 @@
     write_object(ctx, options, &answer)
 }
 
-/// The objects of a list answer.
+/// Returns the objects of an answer that is a list.
 ///
 /// # Errors
 ///
-/// The answer is something else.
+/// Returns an error if the answer is not a list of objects.
 pub fn list_items(answer: &Value) -> Result<Vec<JsonObject>, Failure> {
     let list = answer.get("items").and_then(Value::as_array);
     let objects: Option<Vec<JsonObject>> =
--- a/crates/basilbank_cli/src/table.rs
+++ b/crates/basilbank_cli/src/table.rs
@@ -1,12 +1,12 @@
-//! Tables out of flat JSON objects. Which columns there are, the daemon says; their order is set
-//! here, so that a new column needs no change.
+//! Formats flat JSON objects as tables. The daemon determines the columns, so a new one needs no
+//! change here; this module only determines their order.
 
 use serde_json::{Map, Value};
 
-/// A flat JSON object.
+/// A JSON object, usually without nested objects.
 pub type JsonObject = Map<String, Value>;
 
-/// Columns that come first, in this order; others follow by name.
+/// Columns that come first, in this order. Other columns follow in alphabetical order.
 const LEADING_COLUMNS: &[&str] = &[
     "at_ms",
     "event",
@@ -50,12 +50,12 @@
     "age_ms",
 ];
 
-/// Columns whose text is a number stand to the right.
+/// Returns whether a value is a number or missing. A column of only such values is right-aligned.
 fn is_number(value: &Value) -> bool {
     matches!(value, Value::Number(_) | Value::Null)
 }
 
-/// One value as a cell. Control characters, which could change the terminal, are replaced.
+/// Formats a value as a table cell. Replaces control characters, which could alter the terminal.
 pub fn format_cell(value: &Value) -> String {
     let text = match value {
         Value::Null => "-".to_owned(),
@@ -70,7 +70,7 @@
     text.chars().map(|c| if c.is_control() { '?' } else { c }).collect()
 }
 
-/// A list of objects as a table with a head; one line says so when there are none.
+/// Formats a list of objects as a table with a header, or returns `none` if the list is empty.
 #[must_use]
 pub fn render_list(items: &[JsonObject]) -> String {
     if items.is_empty() {
@@ -88,7 +88,7 @@
     align_rows(&rows, &right_aligned)
 }
 
-/// An object as lines of name and value; lists of objects within it follow as tables.
+/// Formats an object as lines of name and value. Lists of objects in it follow as tables.
 #[must_use]
 pub fn render_object(object: &JsonObject) -> String {
     let (tables, flat): (Vec<_>, Vec<_>) = object
@@ -106,7 +106,7 @@
     text
 }
 
-/// The objects of a list that holds nothing else.
+/// Returns the objects of a non-empty list that contains only objects, or else `None`.
 fn as_objects(value: &Value) -> Option<Vec<JsonObject>> {
     let list = value.as_array().filter(|list| !list.is_empty())?;
     list.iter().map(|item| item.as_object().cloned()).collect()
--- a/crates/basilbank_cli/src/trace.rs
+++ b/crates/basilbank_cli/src/trace.rs
@@ -1,4 +1,4 @@
-//! `trace`: one request's way, from the logs of many daemons.
+//! The command `trace`: follows one request through the logs of many daemons.
 
 use std::{
     collections::BTreeSet,
@@ -15,10 +15,10 @@
     show::write_json,
 };
 
-/// How long before the request its daemon's circumstances are shown.
+/// Time before the first line of the request within which related events are shown.
 const CONTEXT_BEFORE_REQUEST: Duration = Duration::from_secs(10);
 
-/// Events about an endpoint that say what happened to it.
+/// Events that report a change of an endpoint.
 const ENDPOINT_EVENTS: [&str; 7] = [
     "endpoint",
     "endpoint_gone",
@@ -29,7 +29,7 @@
     "ordered",
 ];
 
-/// Events of one daemon that touch all its requests.
+/// Events of a daemon that affect all its requests.
 const DAEMON_EVENTS: [&str; 13] = [
     "started",
     "stopped",
@@ -46,23 +46,25 @@
     "log_lines_dropped",
 ];
 
-/// One line of a log.
+/// A parsed line of a daemon's log.
 struct LogLine {
     at: SystemTime,
-    /// The daemon: what a collector put before the time, else the file's name.
+    /// Name of the daemon: the text that a log collector put before the time, or else the name of
+    /// the file.
     source: String,
-    /// The line without its time and level.
+    /// The line from `event=` on, without time and level.
     text: String,
     fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// `None` for a line that has no time or no event: another program's.
+    /// Parses a line. Returns `None` for a line without a time or an event, which another program
+    /// wrote.
     fn parse(text: &str, file: &str) -> Option<LogLine> {
         let words: Vec<_> = text.split_whitespace().collect();
         let (number, at) =
             words.iter().enumerate().find_map(|(n, word)| Some((n, parse_time(word)?)))?;
-        // A collector's own time may stand before the daemon's name.
+        // A collector may put a time of its own, as a number, before the name of the daemon.
         let names = words[..number].iter().filter(|word| word.parse::<f64>().is_err());
         let source = names.copied().collect::<Vec<_>>().join(" ");
         let source = if source.is_empty() { file.to_owned() } else { source };
@@ -86,7 +88,7 @@
     may_be_time.then(|| OffsetDateTime::parse(word, &Rfc3339).ok()).flatten().map(SystemTime::from)
 }
 
-/// Pairs of a line; a value in quotes may have spaces.
+/// Parses the `key=value` fields of a line. A quoted value may contain spaces.
 fn parse_fields(text: &str) -> Vec<(String, String)> {
     let mut fields = Vec::new();
     let mut rest = text;
@@ -103,14 +105,15 @@
     fields
 }
 
-/// What is traced: one request, or all attempts that share a digest.
+/// Selects the lines of one request, or of all attempts that share a digest.
 struct TraceFilter {
     ids: BTreeSet<String>,
     digests: BTreeSet<String>,
 }
 
 impl TraceFilter {
-    /// `name` is a request's id or a digest. What is known of a request's digest belongs to it.
+    /// Resolves `name`, the id or the digest of a request. The filter also matches lines that have
+    /// only the digest of a selected request.
     fn resolve(lines: &[LogLine], name: &str) -> TraceFilter {
         let is_named = |line: &&LogLine| {
             line.value("request") == Some(name)
@@ -131,7 +134,7 @@
     }
 }
 
-/// Shows the lines of a request, or of all attempts of one, and those that explain them.
+/// Prints the lines of a request, or of all attempts that share a digest, and related events.
 pub fn run(
     ctx: &mut CommandContext<'_>,
     options: &Options,
@@ -162,8 +165,8 @@
     Ok(ExitStatus::Ok)
 }
 
-/// The request's lines and its circumstances, by time: its daemon's own, and what any daemon noted of
-/// the endpoints that it was sent to.
+/// Returns the lines of the request and related events, sorted by time. Related are events of the
+/// daemons that served it, and events about the endpoints that it was sent to, from any daemon.
 fn select_lines(lines: Vec<LogLine>, traced: &TraceFilter) -> Vec<LogLine> {
     let is_traced = |line: &LogLine| traced.matches(line);
     let request_lines: Vec<_> = lines.iter().filter(|line| is_traced(line)).collect();
@@ -179,7 +182,8 @@
         let is_in_period = begin - CONTEXT_BEFORE_REQUEST <= line.at && line.at <= end;
         let of_instance = line.value("instance").is_some_and(|name| instances.contains(name));
         let at_daemon = sources.contains(&line.source);
-        // Endpoints' entries reach all daemons alike; what one met at them only itself tells.
+        // All daemons log the same changes of endpoint records. Those of the request's own daemons
+        // are enough; the other endpoint events are specific to the daemon that logs them.
         let is_relevant = !line.is_one_of(&["endpoint", "endpoint_gone"]) || at_daemon;
         is_in_period
             && ((of_instance && is_relevant && line.is_one_of(&ENDPOINT_EVENTS))
--- a/crates/basilbank_cli/src/watch.rs
+++ b/crates/basilbank_cli/src/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: what changes at a daemon.
+//! The command `watch`: polls a daemon and prints what changed.
 
 use std::{collections::BTreeMap, time::SystemTime};
 
@@ -13,29 +13,29 @@
     table::{JsonObject, format_cell},
 };
 
-/// Lists that are watched beside the status.
+/// Lists that are polled in addition to the status.
 const WATCHED_LISTS: [List; 3] = [List::Endpoints, List::Peers, List::Orders];
 
-/// Fields that tell one object of a list from the others; the first that it has counts.
+/// Fields that identify an object of a list. The first one that the object has is used.
 const ID_FIELDS: [&str; 4] = ["name", "id", "endpoint", "vm"];
 
-/// Fields that move all the time, on a daemon that works as it should.
+/// Fields that change constantly on a healthy daemon and are therefore not reported.
 const VOLATILE_FIELDS: [&str; 4] = ["heartbeat", "held", "queued", "requests"];
 
-/// Fields that end like this move too.
+/// Suffixes of other fields that change constantly: durations and ages.
 const VOLATILE_SUFFIXES: [&str; 2] = ["_ms", "_s"];
 
-/// Values by what they belong to: `endpoint writer-d1 running`.
+/// Values by list, object and field, such as `endpoints writer-d1 running`.
 type Snapshot = BTreeMap<String, String>;
 
-/// One value that is another than before.
+/// A value that differs from the previous poll. `None` means that it did not exist.
 struct Change {
     what: String,
     old: Option<String>,
     new: Option<String>,
 }
 
-/// Asks again and again, and prints what changed.
+/// Polls the daemon at regular intervals and prints what changed since the previous poll.
 pub fn run(
     ctx: &mut CommandContext<'_>,
     options: &Options,
--- a/crates/basilbank_cli/tests/commands/admin_api.rs
+++ b/crates/basilbank_cli/tests/commands/admin_api.rs
@@ -1,4 +1,4 @@
-//! Commands that ask a daemon.
+//! Commands that use the admin API, run against a server that replaces the daemon.
 
 use basilbank_cli::ExitStatus;
 use test_case::test_case;
@@ -7,7 +7,7 @@
 
 const KEY: &str = "fedcba9876543210";
 
-/// Answers one path with one text.
+/// Starts a server that answers one method and path with the given text, and others with 404.
 fn fake_daemon(expected_line: &'static str, status: u16, text: &'static str) -> FakeDaemon {
     FakeDaemon::start(Box::new(move |request_line| {
         if request_line == expected_line { (status, text.to_owned()) } else { (404, String::new()) }
@@ -107,7 +107,7 @@
 
 #[test]
 fn refused_connection_is_unreachable() {
-    // Port 1 has had no use for decades.
+    // Nothing listens on port 1: its assigned service has been out of use for decades.
     let output = run_command(&["status", "--admin", "127.0.0.1:1"], "", &[]);
     assert_eq!(output.status, ExitStatus::Unreachable);
 }
--- a/crates/basilbank_cli/tests/commands/common.rs
+++ b/crates/basilbank_cli/tests/commands/common.rs
@@ -1,4 +1,4 @@
-//! A small HTTP responder in a daemon's place, and a command run against it.
+//! An HTTP server that replaces a daemon, and a function that runs a command.
 
 use std::{
     io::Read as _,
@@ -9,23 +9,23 @@
 use basilbank_cli::{CommandContext, ExitStatus, run};
 use rouille::{Response, Server};
 
-/// A request as it came in.
+/// A request that the server received.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRequest {
-    /// The `Authorization` header.
+    /// Value of the `Authorization` header, or an empty string.
     pub authorization: String,
-    /// The body.
+    /// Body as text.
     pub body: String,
 }
 
-/// Answers by method and path, until it is dropped.
+/// Answers requests until it is dropped.
 pub struct FakeDaemon {
     pub address: SocketAddr,
     pub received: Arc<Mutex<Vec<ReceivedRequest>>>,
     _stop: Sender<()>,
 }
 
-/// Gives the status and body of an answer to a method and path.
+/// Returns status and body of the answer to a method and path, such as `GET /admin/status`.
 pub type AnswerFn = dyn FnMut(&str) -> (u16, String) + Send;
 
 impl FakeDaemon {
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a command printed, and its status.
+/// Output and exit status of a command.
 #[derive(Debug)]
 pub struct CommandOutput {
     pub status: ExitStatus,
@@ -56,7 +56,7 @@
     pub err: String,
 }
 
-/// Runs a command with standard input and environment given.
+/// Runs a command with the given standard input and environment.
 pub fn run_command(args: &[&str], input: &str, env: &[(&str, &str)]) -> CommandOutput {
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let get_env = |name: &str| env.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
--- a/crates/basilbank_cli/tests/commands/files.rs
+++ b/crates/basilbank_cli/tests/commands/files.rs
@@ -1,4 +1,4 @@
-//! Commands that work on files and on the command line alone.
+//! Commands that need no daemon, and invalid command lines.
 
 use basilbank_cli::ExitStatus;
 use test_case::test_case;
@@ -34,8 +34,8 @@
     assert_eq!(output.status, ExitStatus::InvalidOrNotFound);
 }
 
-/// Symptom: a catalogue in two files is called sound though a name is in both. Cause: each file was
-/// checked by itself.
+/// Guards against a catalogue in two files that passes although both define the same name. This
+/// happens if each file is checked by itself.
 #[test]
 fn check_validates_documents_together() {
     let output = run_command(&["check", CATALOGUE, CHANGED_CATALOGUE, "--json"], "", &[]);
@@ -57,7 +57,7 @@
 
 #[test]
 fn hash_key_prints_the_sha256_of_the_key() {
-    // printf %s abc | sha256sum
+    // Output of `printf %s abc | sha256sum`.
     let expected = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad\n";
     for input in ["abc", "abc\n", "abc\r\n"] {
         assert_eq!(run_command(&["hash-key"], input, &[]).out, expected);
--- a/crates/basilbank_cli/tests/commands/main.rs
+++ b/crates/basilbank_cli/tests/commands/main.rs
@@ -1,4 +1,4 @@
-//! Commands, run as `main` runs them.
+//! Runs commands through the library function that `main` calls.
 
 mod admin_api;
 mod common;
--- a/crates/basilbank_cli/tests/commands/real_daemon.rs
+++ b/crates/basilbank_cli/tests/commands/real_daemon.rs
@@ -1,4 +1,4 @@
-//! Commands against a whole daemon between stand-ins.
+//! Commands against a real daemon whose platform and endpoints are stand-ins.
 
 use std::{
     fs,
@@ -12,7 +12,7 @@
 
 use crate::common::{CommandOutput, run_command};
 
-/// A daemon that has its catalogue.
+/// A daemon that has read its catalogue and is ready.
 struct RunningDaemon {
     site: Site,
     daemon: Daemon,
@@ -37,7 +37,7 @@
         run_command(args, "", &[("BASILBANK_ADMIN", &admin), ("BASILBANK_KEY", ADMIN_KEY)])
     }
 
-    /// The first cells of a list's columns.
+    /// Returns the column names of a list.
     fn column_names(&self, list: &str) -> Vec<String> {
         let output = self.run(&[list]);
         assert_eq!(output.status, ExitStatus::Ok, "{}", output.err);
--- a/crates/basilbank_cli/tests/commands/trace.rs
+++ b/crates/basilbank_cli/tests/commands/trace.rs
@@ -1,4 +1,4 @@
-//! A request's way, from the logs of many daemons.
+//! The command `trace`, run on logs of one and of many daemons.
 
 use basilbank_cli::ExitStatus;
 use test_case::test_case;
@@ -65,7 +65,7 @@
     assert!(!output.err.is_empty());
 }
 
-/// A call that crashed endpoints, at two daemons.
+/// Logs of two daemons about a call that crashed endpoints and was quarantined.
 const CRASH_LOG: &str = "\
 vm-1 2026-02-04T04:05:20.1Z [INFO] event=arrived request=b1 digest=00ab version=7
 vm-1 2026-02-04T04:05:20.2Z [INFO] event=send request=b1 attempt=0 op=decode instance=i-1
