--- a/crates/basilbank_forward/tests/reading/daemon.rs
+++ b/crates/basilbank_forward/tests/reading/daemon.rs
@@ -85,7 +85,7 @@
                 condition
                     if condition.kills_connections() && *connection == IdleConnection::Live =>
                 {
-                    *connection = IdleConnection::Dead
+                    *connection = IdleConnection::Dead;
                 }
                 _ => {}
             }
--- a/crates/basilbank_forward/tests/reading/fleet.rs
+++ b/crates/basilbank_forward/tests/reading/fleet.rs
@@ -157,7 +157,7 @@
                 self.schedule_after(HEARTBEAT_INTERVAL, Event::SendGossip(n));
             }
             Event::ReceiveGossip { to, from, sees_store, changes } => {
-                self.receive_gossip(to, from, sees_store, changes)
+                self.receive_gossip(to, from, sees_store, changes);
             }
             Event::Rewrite(topic) => self.rewrite(topic),
             Event::Check => {
