--- a/crates/basilbank_forward/src/reduce/call_limit.rs
+++ b/crates/basilbank_forward/src/reduce/call_limit.rs
@@ -134,8 +134,8 @@
             ctx.state.permit_issuer.stop(key);
         }
     }
-    while let Some((key, asker)) = ctx.state.permit_issuer.issue(ctx.now) {
-        match asker {
+    while let Some((key, requester)) = ctx.state.permit_issuer.issue(ctx.now) {
+        match requester {
             Requester::Own => handle_grant(ctx, key),
             Requester::Peer(peer) => send(ctx, peer, key, PermitKind::Grant, Duration::ZERO),
         }
@@ -144,15 +144,20 @@
 
 /// Handles a request for a permit. If this daemon considers another one the issuer, it doesn't
 /// reply, since otherwise both would issue permits.
-fn handle_request(ctx: &mut Context<'_>, key: EndpointKey, asker: Requester, max_wait: Duration) {
+fn handle_request(
+    ctx: &mut Context<'_>,
+    key: EndpointKey,
+    requester: Requester,
+    max_wait: Duration,
+) {
     let Some(limit) = ctx.state.call_limits.get(key) else { return };
     if ctx.state.permit_issuer(key).is_some() {
         return;
     }
     let stage = ctx.state.directory.get(key).and_then(|endpoint| endpoint.info.stage);
     let limit = if stage == Some(Stage::Decode) { limit / CALLS_PER_DECODE_PERMIT } else { limit };
-    let wait = ctx.state.permit_issuer.request(key, limit, (asker, max_wait), ctx.now);
-    match asker {
+    let wait = ctx.state.permit_issuer.request(key, limit, (requester, max_wait), ctx.now);
+    match requester {
         // The callers of `ask_issuer` check the result themselves, so no call has to be resumed.
         Requester::Own => {
             ctx.state.permit_holder.apply_wait(key, wait, ctx.state.peers.known.len(), ctx.now);
