--- a/crates/basilbank_cli/src/args.rs
+++ b/crates/basilbank_cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command line.
 
 use std::{ffi::OsString, fs, time::Duration};
 
@@ -6,10 +6,10 @@
 
 use crate::failure::Failure;
 
-/// Time between two rounds of `watch` when none is given.
-const INTERVAL: Duration = Duration::from_secs(2);
+/// Default time between two polls of `watch`.
+const DEFAULT_WATCH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How output looks.
+/// Output format.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Format {
     /// Aligned tables.
@@ -18,47 +18,47 @@
     Json,
 }
 
-/// What all commands take.
+/// Options that all commands accept.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Options {
-    /// The daemon's admin address.
+    /// Admin address of the daemon.
     pub admin: Option<String>,
-    /// The operators' key.
+    /// Admin key of the daemon.
     pub key: Option<String>,
-    /// How output looks.
+    /// Output format.
     pub format: Format,
 }
 
-/// A list that the admin API has.
+/// A list that the admin API serves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum List {
     /// Entries of the catalogue in force.
     Catalogue,
-    /// Endpoints.
+    /// Endpoints with their slots and health.
     Endpoints,
-    /// Teams.
+    /// Teams with their requests in progress.
     Teams,
-    /// Peers.
+    /// VMs of the system.
     Peers,
-    /// Requests in progress, and some that ended.
+    /// Requests in progress, and some recently ended ones.
     Requests,
-    /// Orders to endpoints.
+    /// Steering orders to endpoints.
     Orders,
 }
 
-/// How often `watch` looks.
+/// How often and how many times `watch` polls.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Rounds {
-    /// Rounds before it ends; `None` for no end.
+pub struct WatchOptions {
+    /// Number of polls before `watch` ends; `None` if it runs until it is interrupted.
     pub count: Option<u64>,
-    /// Time between two rounds.
+    /// Time between two polls.
     pub interval: Duration,
 }
 
-/// What a help text is about.
+/// Subject of a help text.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Topic {
-    /// The whole.
+    /// All commands.
     Overview,
     /// `check`
     Check,
@@ -66,7 +66,7 @@
     Diff,
     /// `status`
     Status,
-    /// A list
+    /// One of the lists.
     List(List),
     /// `explain`
     Explain,
@@ -78,61 +78,61 @@
     HashKey,
 }
 
-/// One command.
+/// A command with its arguments.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Command {
-    /// Tell how a command is used.
+    /// Prints a help text.
     Help(Topic),
-    /// Check texts.
+    /// Checks settings and catalogue documents.
     Check {
-        /// The files.
+        /// Files to check.
         files: Vec<String>,
     },
-    /// Compare two catalogues.
+    /// Compares two catalogues.
     Diff {
-        /// The one catalogue's files.
+        /// Documents of the old catalogue.
         old: Vec<String>,
-        /// The other's.
+        /// Documents of the new catalogue.
         new: Vec<String>,
     },
-    /// Compare a catalogue with the one that a daemon has in force.
+    /// Has a daemon compare a catalogue with the one it has in force.
     DryRun {
-        /// The catalogue's files.
+        /// Documents of the catalogue.
         files: Vec<String>,
     },
-    /// Show the daemon's state.
+    /// Shows the state of the daemon.
     Status,
-    /// Show a list.
+    /// Shows a list.
     List(List),
-    /// Tell what became of a request.
+    /// Shows the events of a request.
     Explain {
-        /// Its id.
-        request: String,
+        /// Id that the daemon gave the request.
+        request_id: String,
     },
-    /// Show a request's way by logs.
+    /// Shows a request as it appears in the logs of daemons.
     Trace {
-        /// Its id at the caller.
-        request: String,
-        /// The logs.
+        /// Id of the request at the caller, or its digest.
+        id_or_digest: String,
+        /// Log files; `-` is standard input.
         files: Vec<String>,
     },
-    /// Show changes as they happen.
-    Watch(Rounds),
-    /// Hash a bearer key.
+    /// Polls the daemon and shows changes.
+    Watch(WatchOptions),
+    /// Hashes a bearer key.
     HashKey,
 }
 
-/// A command with its options.
+/// A parsed command line.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Invocation {
-    /// The options.
+    /// Options common to all commands.
     pub options: Options,
-    /// The command.
+    /// Command to run.
     pub command: Command,
 }
 
 impl List {
-    /// Its name, on the command line and in the admin API.
+    /// Returns the name of the list, which is the same on the command line and in the admin API.
     pub fn name(self) -> &'static str {
         match self {
             List::Catalogue => "catalogue",
@@ -146,27 +146,27 @@
 }
 
 impl Invocation {
-    /// Reads a command line.
+    /// Parses a command line.
     ///
     /// # Errors
     ///
-    /// The command line is wrong, or the key's file can't be read.
+    /// Returns an error if the command line is invalid or the key file can't be read.
     pub fn parse(
         mut args: Vec<OsString>,
         env: &dyn Fn(&str) -> Option<String>,
     ) -> Result<Invocation, Failure> {
-        // Only `diff` has a second list of files.
-        let second = args.iter().position(|arg| arg == "--").map(|at| args.split_off(at));
+        // `--` separates the two lists of files of `diff`; no other command accepts it.
+        let after_separator = args.iter().position(|arg| arg == "--").map(|at| args.split_off(at));
         let mut args = Arguments::from_vec(args);
         let help = args.contains(["-h", "--help"]);
         let options = read_options(&mut args, env)?;
         let count = args.opt_value_from_str("--count")?;
         let seconds: Option<f64> = args.opt_value_from_str("--interval")?;
-        let rounds = Rounds { count, interval: interval(seconds)? };
+        let watch = WatchOptions { count, interval: parse_interval(seconds)? };
         let name = args.subcommand()?;
-        let Some(topic) = topic(name.as_deref())? else {
+        let Some(topic) = parse_topic(name.as_deref())? else {
             let command = Command::Help(Topic::Overview);
-            return help.then_some(Invocation { options, command }).ok_or_else(no_command);
+            return help.then_some(Invocation { options, command }).ok_or_else(no_command_error);
         };
         if help {
             return Ok(Invocation { options, command: Command::Help(topic) });
@@ -174,22 +174,25 @@
         if topic != Topic::Watch && (count.is_some() || seconds.is_some()) {
             return Err(Failure::Usage("--count and --interval go with `watch`".to_owned()));
         }
-        let rest = texts(args.finish())?;
-        let second = second.map(|all| texts(all.into_iter().skip(1).collect())).transpose()?;
-        Ok(Invocation { options, command: command(topic, rest, second, rounds)? })
+        let rest = into_strings(args.finish())?;
+        let after_separator = after_separator
+            .map(|args| into_strings(args.into_iter().skip(1).collect()))
+            .transpose()?;
+        Ok(Invocation { options, command: build_command(topic, rest, after_separator, watch)? })
     }
 }
 
-fn no_command() -> Failure {
+fn no_command_error() -> Failure {
     Failure::Usage("no command is given".to_owned())
 }
 
-fn interval(seconds: Option<f64>) -> Result<Duration, Failure> {
-    let Some(seconds) = seconds else { return Ok(INTERVAL) };
-    let wrong = || Failure::Usage("--interval is a number of seconds from 0.1".to_owned());
-    let interval = Duration::try_from_secs_f64(seconds).map_err(|_| wrong())?;
+fn parse_interval(seconds: Option<f64>) -> Result<Duration, Failure> {
+    let Some(seconds) = seconds else { return Ok(DEFAULT_WATCH_INTERVAL) };
+    let invalid_interval =
+        || Failure::Usage("--interval is a number of seconds from 0.1".to_owned());
+    let interval = Duration::try_from_secs_f64(seconds).map_err(|_| invalid_interval())?;
     if interval < Duration::from_millis(100) {
-        return Err(wrong());
+        return Err(invalid_interval());
     }
     Ok(interval)
 }
@@ -208,12 +211,12 @@
     Ok(Options { admin: admin.or_else(|| env("BASILBANK_ADMIN")), key, format })
 }
 
-/// Reads a file that the command line names.
+/// Reads a file that is given on the command line.
 pub fn read_file(name: &str) -> Result<String, Failure> {
     fs::read_to_string(name).map_err(|error| Failure::File { name: name.to_owned(), error })
 }
 
-fn texts(args: Vec<OsString>) -> Result<Vec<String>, Failure> {
+fn into_strings(args: Vec<OsString>) -> Result<Vec<String>, Failure> {
     let text = |arg: OsString| {
         let text = arg.into_string();
         text.map_err(|arg| Failure::Usage(format!("{} is not Unicode", arg.display())))
@@ -221,7 +224,7 @@
     args.into_iter().map(text).collect()
 }
 
-fn topic(name: Option<&str>) -> Result<Option<Topic>, Failure> {
+fn parse_topic(name: Option<&str>) -> Result<Option<Topic>, Failure> {
     let Some(name) = name else { return Ok(None) };
     Ok(Some(match name {
         "check" => Topic::Check,
@@ -241,45 +244,45 @@
     }))
 }
 
-fn command(
+fn build_command(
     topic: Topic,
     rest: Vec<String>,
-    second: Option<Vec<String>>,
-    rounds: Rounds,
+    after_separator: Option<Vec<String>>,
+    watch: WatchOptions,
 ) -> Result<Command, Failure> {
     if let Some(option) = rest.iter().find(|arg| arg.starts_with('-') && *arg != "-") {
         return Err(Failure::Usage(format!("there is no option {option}")));
     }
-    if second.is_some() && topic != Topic::Diff {
+    if after_separator.is_some() && topic != Topic::Diff {
         return Err(Failure::Usage("only `diff` takes a second list after --".to_owned()));
     }
     match topic {
-        Topic::Check => Ok(Command::Check { files: some_files(rest)? }),
-        Topic::Diff => match second {
-            Some(new) => Ok(Command::Diff { old: some_files(rest)?, new: some_files(new)? }),
-            None => Ok(Command::DryRun { files: some_files(rest)? }),
+        Topic::Check => Ok(Command::Check { files: require_files(rest)? }),
+        Topic::Diff => match after_separator {
+            Some(new) => Ok(Command::Diff { old: require_files(rest)?, new: require_files(new)? }),
+            None => Ok(Command::DryRun { files: require_files(rest)? }),
         },
         Topic::Explain => match <[String; 1]>::try_from(rest) {
-            Ok([request]) => Ok(Command::Explain { request }),
+            Ok([request_id]) => Ok(Command::Explain { request_id }),
             Err(_) => Err(Failure::Usage("`explain` takes one request id".to_owned())),
         },
         Topic::Trace => match rest.split_first() {
-            Some((request, files)) => {
-                let files = some_files(files.to_vec())?;
-                Ok(Command::Trace { request: request.clone(), files })
+            Some((id_or_digest, files)) => {
+                let files = require_files(files.to_vec())?;
+                Ok(Command::Trace { id_or_digest: id_or_digest.clone(), files })
             }
             None => Err(Failure::Usage("`trace` takes a request id and logs".to_owned())),
         },
         _ if !rest.is_empty() => Err(Failure::Usage(format!("{:?} is one too many", rest[0]))),
         Topic::Status => Ok(Command::Status),
         Topic::List(list) => Ok(Command::List(list)),
-        Topic::Watch => Ok(Command::Watch(rounds)),
+        Topic::Watch => Ok(Command::Watch(watch)),
         Topic::HashKey => Ok(Command::HashKey),
         Topic::Overview => Ok(Command::Help(Topic::Overview)),
     }
 }
 
-fn some_files(files: Vec<String>) -> Result<Vec<String>, Failure> {
+fn require_files(files: Vec<String>) -> Result<Vec<String>, Failure> {
     if files.is_empty() {
         return Err(Failure::Usage("no file is given".to_owned()));
     }
--- a/crates/basilbank_cli/src/failure.rs
+++ b/crates/basilbank_cli/src/failure.rs
@@ -1,66 +1,66 @@
-//! How a command ends.
+//! Exit status and errors of commands.
 
 use std::{fmt, io};
 
-/// The exit status.
+/// Exit status of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Status {
-    /// All went well.
+pub enum ExitStatus {
+    /// The command succeeded.
     Ok,
-    /// Texts have errors, or what was asked for isn't there.
-    Found,
-    /// The command line, a file named on it or the key is wrong.
+    /// A document or settings file has errors, or the requested object does not exist.
+    InvalidOrNotFound,
+    /// The command line is invalid, a file can't be read, or the key is refused.
     Usage,
-    /// The daemon can't be reached, or gave no proper answer.
+    /// The daemon can't be reached, or its answer is invalid.
     Unreachable,
 }
 
-impl Status {
-    /// The process's exit code.
+impl ExitStatus {
+    /// Returns the exit code of the process.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
-            Status::Ok => 0,
-            Status::Found => 1,
-            Status::Usage => 2,
-            Status::Unreachable => 3,
+            ExitStatus::Ok => 0,
+            ExitStatus::InvalidOrNotFound => 1,
+            ExitStatus::Usage => 2,
+            ExitStatus::Unreachable => 3,
         }
     }
 }
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
     /// A file can't be read.
     File {
-        /// Its name.
+        /// Name of the file as given on the command line, or `standard input`.
         name: String,
-        /// Why.
+        /// Error of the read.
         error: io::Error,
     },
-    /// The daemon does not take the key.
-    Key,
-    /// The daemon has no such thing.
+    /// The daemon refuses the key.
+    KeyRefused,
+    /// The requested object does not exist.
     NotFound(String),
-    /// The daemon can't be reached, or gave no proper answer.
+    /// The daemon can't be reached, or its answer is invalid.
     Unreachable(String),
-    /// Nobody reads the output any more.
+    /// Standard input can't be read, or an output stream can't be written.
     Output(io::Error),
 }
 
 impl Failure {
-    /// The exit status that goes with it.
+    /// Returns the exit status for this failure.
     #[must_use]
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ExitStatus {
         match self {
-            Failure::Usage(_) | Failure::File { .. } | Failure::Key => Status::Usage,
-            Failure::NotFound(_) => Status::Found,
-            Failure::Unreachable(_) => Status::Unreachable,
-            // A reader like `head` that has seen enough is no failure.
-            Failure::Output(error) if error.kind() == io::ErrorKind::BrokenPipe => Status::Ok,
-            Failure::Output(_) => Status::Usage,
+            Failure::Usage(_) | Failure::File { .. } | Failure::KeyRefused => ExitStatus::Usage,
+            Failure::NotFound(_) => ExitStatus::InvalidOrNotFound,
+            Failure::Unreachable(_) => ExitStatus::Unreachable,
+            // A reader such as `head` closes the pipe once it has enough lines: this is no failure.
+            Failure::Output(error) if error.kind() == io::ErrorKind::BrokenPipe => ExitStatus::Ok,
+            Failure::Output(_) => ExitStatus::Usage,
         }
     }
 }
@@ -82,7 +82,7 @@
         match self {
             Failure::Usage(message) => write!(f, "{message}; `basilbank --help` tells more"),
             Failure::File { name, error } => write!(f, "{name}: {error}"),
-            Failure::Key => {
+            Failure::KeyRefused => {
                 write!(
                     f,
                     "the daemon refuses the key; give its admin_key by --key-file or BASILBANK_KEY"
--- /dev/null
+++ b/crates/basilbank_gateway/src/attempt.rs
@@ -0,0 +1,313 @@
+//! Carries out one attempt at an endpoint.
+
+use std::{rc::Rc, time::Duration};
+
+use basilbank_forward::{effect::Target, prelude::*};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::{
+    HeaderMap, Response, StatusCode,
+    body::Incoming,
+    header::{CONNECTION, HeaderName},
+    http::request::Parts,
+};
+use tokio::time::timeout;
+
+use crate::{
+    connections::{CallError, Connection},
+    dialect::AnswerKind,
+    router::Router,
+};
+
+/// Maximum size of an answer that is not a stream. It is read to its end before it is forwarded, so
+/// that one that breaks off is not taken for complete.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+
+/// Maximum size of an answer that is meant for the router itself.
+const MAX_CONTROL_ANSWER_BYTES: usize = 64 << 10;
+
+/// The outcome of an attempt, and the answer to forward.
+#[derive(Debug)]
+pub struct AttemptResult {
+    /// Outcome for the reducer.
+    pub outcome: Outcome,
+    /// Answer for the caller.
+    pub pending: Option<PendingAnswer>,
+}
+
+/// An answer that waits until the reducer decides whether it is forwarded.
+#[derive(Debug)]
+pub enum PendingAnswer {
+    /// A complete answer.
+    Full(FullAnswer),
+    /// A stream that has begun.
+    Stream(Box<AnswerStream>),
+}
+
+/// A complete answer.
+#[derive(Debug)]
+pub struct FullAnswer {
+    /// HTTP status.
+    pub status: StatusCode,
+    /// Headers, without hop-by-hop headers.
+    pub headers: HeaderMap,
+    /// Complete body.
+    pub body: Bytes,
+}
+
+/// A stream that has begun.
+#[derive(Debug)]
+pub struct AnswerStream {
+    /// HTTP status.
+    pub status: StatusCode,
+    /// Headers, without hop-by-hop headers.
+    pub headers: HeaderMap,
+    /// Rest of the body.
+    pub body: Incoming,
+    /// Connection that carries the stream.
+    pub connection: Connection,
+    /// How long the endpoint keeps the connection open, as `parse_keep_alive` returns it.
+    pub keep_alive: Option<Option<Duration>>,
+    /// Time without data after which the endpoint is asked whether it is alive.
+    pub stall_timeout: Option<Duration>,
+    /// Endpoint that sends the stream.
+    pub target: Target,
+}
+
+/// A caller's request as it was received.
+#[derive(Debug)]
+pub struct CallerRequest {
+    /// The parsed call, for the reducer.
+    pub call: Call,
+    /// Request head.
+    pub head: Parts,
+    /// Request body.
+    pub body: Bytes,
+}
+
+impl AttemptResult {
+    fn without_answer(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, pending: None }
+    }
+}
+
+impl From<CallError> for Outcome {
+    fn from(error: CallError) -> Outcome {
+        match error {
+            CallError::Unreachable => Outcome::Unreachable,
+            CallError::Broken(damage) => Outcome::Broken(damage),
+            CallError::Silent => Outcome::TimedOut,
+        }
+    }
+}
+
+/// Carries out an attempt.
+pub async fn run_attempt(
+    router: Rc<Router>,
+    caller_request: Rc<CallerRequest>,
+    attempt: Attempt,
+    last_event_id: Option<String>,
+) -> AttemptResult {
+    let dialect = &router.dialect;
+    let request = (dialect.attempt_request)(
+        &caller_request.head,
+        &caller_request.body,
+        &attempt,
+        last_event_id.as_deref(),
+    );
+    let liveness_request = || (dialect.liveness_request)(&attempt.target.instance);
+    let answer = match attempt.op {
+        Op::Hold { .. } => {
+            router.connections.call(&attempt.target, request, attempt.answer_timeout).await
+        }
+        Op::Plain | Op::Stream { .. } | Op::Prefill | Op::Decode { .. } => {
+            let (answer_timeout, max_wait) = (attempt.answer_timeout, attempt.remaining);
+            router
+                .connections
+                .call_while_alive(
+                    &attempt.target,
+                    request,
+                    answer_timeout,
+                    max_wait,
+                    liveness_request,
+                )
+                .await
+        }
+    };
+    let (response, connection) = match answer {
+        Ok(answer) => answer,
+        Err(error) => return AttemptResult::without_answer(error.into()),
+    };
+    let (head, body) = split_head(response);
+    report_call_limit(&router, &attempt, &head);
+    match (dialect.classify_answer)(&caller_request.call, &attempt.op, &head) {
+        AnswerKind::Unclear => AttemptResult::without_answer(Outcome::Broken(Damage::Foreign)),
+        AnswerKind::NotRun(why) => {
+            drain_and_keep(&router, &attempt, &head, body, connection).await;
+            AttemptResult::without_answer(Outcome::NotRun(why))
+        }
+        AnswerKind::Control => {
+            read_control_answer(&router, &attempt, &head, body, connection).await
+        }
+        AnswerKind::Forward if is_streaming(&attempt.op) && head.status().is_success() => {
+            let keep_alive = parse_keep_alive(&head);
+            let (status, headers) = (head.status(), end_to_end_headers(head));
+            let stream = AnswerStream {
+                status,
+                headers,
+                body,
+                connection,
+                keep_alive,
+                stall_timeout: attempt.stall_timeout,
+                target: attempt.target,
+            };
+            let pending = Some(PendingAnswer::Stream(Box::new(stream)));
+            AttemptResult { outcome: Outcome::Streaming, pending }
+        }
+        AnswerKind::Forward => read_full_answer(&router, &attempt, head, body, connection).await,
+    }
+}
+
+/// Reports to the reducer which call limit the answer states. An answer without one lifts the limit
+/// if the endpoint has run the call: an answer that refuses a call or holds a slot need not state
+/// the limit.
+fn report_call_limit(router: &Rc<Router>, attempt: &Attempt, head: &Response<()>) {
+    let endpoint = attempt.target.endpoint;
+    let rate = (router.dialect.call_limit)(head);
+    let has_run = head.status().is_success() && !matches!(attempt.op, Op::Hold { .. });
+    if rate.is_some() || has_run && router.read(|state| state.call_limits.get(endpoint).is_some()) {
+        router.dispatch(Event::CallLimit { endpoint, rate });
+    }
+}
+
+/// Sends a request whose answer is only logged.
+pub async fn send_control(
+    router: &Router,
+    target: &Target,
+    request: crate::dialect::OutRequest,
+    answer_timeout: Duration,
+) -> Result<StatusCode, CallError> {
+    let (response, connection) = router.connections.call(target, request, answer_timeout).await?;
+    let (head, body) = split_head(response);
+    if collect_body(body, MAX_CONTROL_ANSWER_BYTES, answer_timeout).await.is_some()
+        && let Some(keep_alive) = parse_keep_alive(&head)
+    {
+        router.connections.keep(target.endpoint, connection, keep_alive);
+    }
+    Ok(head.status())
+}
+
+async fn read_control_answer(
+    router: &Router,
+    attempt: &Attempt,
+    head: &Response<()>,
+    body: Incoming,
+    connection: Connection,
+) -> AttemptResult {
+    let Some(bytes) = collect_body(body, MAX_CONTROL_ANSWER_BYTES, attempt.answer_timeout).await
+    else {
+        return AttemptResult::without_answer(Outcome::Broken(Damage::CutOff));
+    };
+    if let Some(keep_alive) = parse_keep_alive(head) {
+        router.connections.keep(attempt.target.endpoint, connection, keep_alive);
+    }
+    let outcome = (router.dialect.parse_control_answer)(&attempt.op, &bytes);
+    AttemptResult::without_answer(outcome.unwrap_or(Outcome::Broken(Damage::Garbled)))
+}
+
+async fn read_full_answer(
+    router: &Router,
+    attempt: &Attempt,
+    head: Response<()>,
+    body: Incoming,
+    connection: Connection,
+) -> AttemptResult {
+    // The body is read to its end before it is forwarded, so that one that breaks off doesn't look
+    // complete.
+    let Some(bytes) = collect_body(body, MAX_ANSWER_BYTES, attempt.answer_timeout).await else {
+        return AttemptResult::without_answer(Outcome::Broken(Damage::CutOff));
+    };
+    if let Some(keep_alive) = parse_keep_alive(&head) {
+        router.connections.keep(attempt.target.endpoint, connection, keep_alive);
+    }
+    let status = head.status();
+    let answer = FullAnswer { status, headers: end_to_end_headers(head), body: bytes };
+    let outcome = Outcome::Answered { status: status.as_u16() };
+    AttemptResult { outcome, pending: Some(PendingAnswer::Full(answer)) }
+}
+
+async fn drain_and_keep(
+    router: &Router,
+    attempt: &Attempt,
+    head: &Response<()>,
+    body: Incoming,
+    connection: Connection,
+) {
+    let drained = collect_body(body, MAX_CONTROL_ANSWER_BYTES, Duration::from_millis(50)).await;
+    if let (Some(_), Some(keep_alive)) = (drained, parse_keep_alive(head)) {
+        router.connections.keep(attempt.target.endpoint, connection, keep_alive);
+    }
+}
+
+async fn collect_body(body: Incoming, max_bytes: usize, read_timeout: Duration) -> Option<Bytes> {
+    let collected = timeout(read_timeout, Limited::new(body, max_bytes).collect()).await.ok()?;
+    Some(collected.ok()?.to_bytes())
+}
+
+fn is_streaming(op: &Op) -> bool {
+    matches!(op, Op::Stream { .. } | Op::Decode { .. })
+}
+
+fn split_head(response: Response<Incoming>) -> (Response<()>, Incoming) {
+    let (head, body) = response.into_parts();
+    (Response::from_parts(head, ()), body)
+}
+
+/// Returns how long the endpoint keeps the connection open: `None` if it closes the connection,
+/// `Some(None)` if it doesn't say.
+fn parse_keep_alive(head: &Response<()>) -> Option<Option<Duration>> {
+    let closes = |value: &hyper::header::HeaderValue| {
+        value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close"))
+    };
+    if head.headers().get_all(CONNECTION).iter().any(closes) {
+        return None;
+    }
+    let value = head.headers().get(KEEP_ALIVE).and_then(|value| value.to_str().ok());
+    let seconds = value.and_then(|text| text.split("timeout=").nth(1));
+    let digits =
+        seconds.map(|text| text.chars().take_while(char::is_ascii_digit).collect::<String>());
+    Some(digits.and_then(|digits| digits.parse().ok()).map(Duration::from_secs))
+}
+
+const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+
+/// Headers that concern one connection only.
+const HOP_BY_HOP: [HeaderName; 7] = [
+    CONNECTION,
+    KEEP_ALIVE,
+    HeaderName::from_static("proxy-connection"),
+    hyper::header::TE,
+    hyper::header::TRAILER,
+    hyper::header::TRANSFER_ENCODING,
+    hyper::header::UPGRADE,
+];
+
+/// Removes the headers that concern one connection only, including those that `Connection` names.
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let named: Vec<_> = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|text| text.split(','))
+        .filter_map(|name| name.trim().parse::<HeaderName>().ok())
+        .collect();
+    for name in named.iter().chain(&HOP_BY_HOP) {
+        headers.remove(name);
+    }
+}
+
+fn end_to_end_headers(head: Response<()>) -> HeaderMap {
+    let mut headers = head.into_parts().0.headers;
+    strip_hop_by_hop(&mut headers);
+    headers
+}
--- /dev/null
+++ b/crates/basilbank_gateway/src/connections.rs
@@ -0,0 +1,263 @@
+//! Connections to endpoints, kept for reuse.
+
+use std::{
+    cell::RefCell,
+    collections::HashMap,
+    net::SocketAddr,
+    pin::pin,
+    time::{Duration, Instant},
+};
+
+use basilbank_forward::{effect::Target, event::Liveness, prelude::*};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{Response, body::Incoming, client::conn::http1};
+use hyper_util::rt::TokioIo;
+use tokio::{net::TcpStream, task::AbortHandle, time::timeout};
+
+use crate::dialect::OutRequest;
+
+/// Maximum time to connect: some round trips between data centres. An endpoint behind a partition
+/// does not answer at all, and a lost SYN packet is sent again only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// How long a connection is kept if the endpoint doesn't state its keep-alive time.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+
+/// Subtracted from the endpoint's keep-alive time, because the endpoint may close the connection
+/// while a request is on its way.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+
+/// Maximum number of idle connections to one endpoint; the oldest is closed beyond that.
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
+
+/// Timeout of a liveness check.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Maximum size of a response head in bytes.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+
+/// How a call failed without an answer.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum CallError {
+    /// No connection could be made: nothing was sent.
+    Unreachable,
+    /// The connection broke, or the answer was invalid.
+    Broken(Damage),
+    /// No answer came within the timeout.
+    Silent,
+}
+
+/// A connection to an endpoint. Dropping it closes the connection, so that the endpoint stops
+/// working on a call that nobody waits for.
+#[derive(Debug)]
+pub struct Connection {
+    sender: http1::SendRequest<Full<Bytes>>,
+    _task: ConnectionTask,
+}
+
+#[derive(Debug)]
+struct ConnectionTask(AbortHandle);
+
+impl Drop for ConnectionTask {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
+
+#[derive(Debug)]
+struct IdleConnection {
+    connection: Connection,
+    expires_at: Instant,
+}
+
+/// Idle connections, by endpoint.
+#[derive(Debug, Default)]
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<EndpointKey, Vec<IdleConnection>>>,
+}
+
+impl Connection {
+    /// Connects within `connect_timeout`.
+    ///
+    /// # Errors
+    /// Returns an error if the endpoint can't be reached in time.
+    pub async fn connect(
+        addr: SocketAddr,
+        connect_timeout: Duration,
+    ) -> Result<Connection, CallError> {
+        let connected = timeout(connect_timeout, TcpStream::connect(addr)).await;
+        let Ok(Ok(stream)) = connected else { return Err(CallError::Unreachable) };
+        // The call works without the option, but its last segment may be delayed until an
+        // acknowledgement.
+        let _ = stream.set_nodelay(true);
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .handshake::<_, Full<Bytes>>(TokioIo::new(stream))
+            .await;
+        let Ok((sender, connection)) = handshake else { return Err(CallError::Unreachable) };
+        // Errors of the connection are returned by the sender and the body.
+        let task = tokio::task::spawn_local(async move { drop(connection.await) });
+        Ok(Connection { sender, _task: ConnectionTask(task.abort_handle()) })
+    }
+
+    /// Whether a request can be sent now.
+    #[must_use]
+    pub fn is_ready(&self) -> bool {
+        self.sender.is_ready()
+    }
+
+    /// Sends a request and waits for the head of the answer.
+    ///
+    /// # Errors
+    /// Returns an error if there is no answer, together with the request if it was not sent.
+    pub async fn send(
+        &mut self,
+        request: OutRequest,
+        answer_timeout: Duration,
+    ) -> Result<Response<Incoming>, (CallError, Option<Box<OutRequest>>)> {
+        match timeout(answer_timeout, self.sender.try_send_request(request)).await {
+            Ok(Ok(response)) => Ok(response),
+            Ok(Err(mut error)) => {
+                let unsent = error.take_message().map(Box::new);
+                let damage =
+                    if error.error().is_parse() { Damage::Garbled } else { Damage::Closed };
+                Err((CallError::Broken(damage), unsent))
+            }
+            Err(_) => Err((CallError::Silent, None)),
+        }
+    }
+}
+
+impl ConnectionPool {
+    /// Calls an endpoint over an idle connection, or else over a new one.
+    ///
+    /// After `answer_timeout` the endpoint is asked by `liveness_request` whether it is alive;
+    /// while it is, the answer is awaited until `max_wait`. Neither an unreachable endpoint nor a
+    /// busy one sends anything on its open connections, and giving up the busy one would waste its
+    /// work.
+    ///
+    /// # Errors
+    /// Returns an error if there is no answer.
+    pub async fn call_while_alive(
+        &self,
+        target: &Target,
+        request: OutRequest,
+        answer_timeout: Duration,
+        max_wait: Duration,
+        liveness_request: impl Fn() -> OutRequest,
+    ) -> Result<(Response<Incoming>, Connection), CallError> {
+        let end = Instant::now() + max_wait;
+        let mut call = pin!(self.call(target, request, max_wait));
+        loop {
+            let left = end.saturating_duration_since(Instant::now());
+            match timeout(answer_timeout.min(left), &mut call).await {
+                Ok(answer) => return answer,
+                Err(_) if end <= Instant::now() => return Err(CallError::Silent),
+                Err(_) => {}
+            }
+            if !self.is_alive(target, liveness_request()).await {
+                return Err(CallError::Silent);
+            }
+        }
+    }
+
+    /// Checks whether the endpoint answers over a new connection, whatever the answer is. An idle
+    /// connection may have been cut off together with the process at its other end.
+    pub async fn probe(&self, target: &Target, request: OutRequest) -> Liveness {
+        let answer = async {
+            let mut connection = Connection::connect(target.addr, LIVENESS_TIMEOUT).await?;
+            connection.send(request, LIVENESS_TIMEOUT).await.map_err(|(error, _)| error)
+        };
+        match answer.await {
+            Ok(_) => Liveness::Alive,
+            Err(_) => Liveness::Unreachable,
+        }
+    }
+
+    /// Whether the endpoint answers a liveness request successfully.
+    pub async fn is_alive(&self, target: &Target, request: OutRequest) -> bool {
+        let answer = self.call(target, request, LIVENESS_TIMEOUT).await;
+        answer.is_ok_and(|(response, _)| response.status().is_success())
+    }
+
+    /// Calls an endpoint over an idle connection, or else over a new one.
+    ///
+    /// # Errors
+    /// Returns an error if there is no answer.
+    pub async fn call(
+        &self,
+        target: &Target,
+        request: OutRequest,
+        answer_timeout: Duration,
+    ) -> Result<(Response<Incoming>, Connection), CallError> {
+        let start = Instant::now();
+        let mut request = request;
+        while let Some(mut connection) = self.take_idle(target.endpoint) {
+            let left = answer_timeout.saturating_sub(start.elapsed());
+            match connection.send(request, left).await {
+                Ok(response) => return Ok((response, connection)),
+                // The endpoint closed the connection before anything was sent.
+                Err((_, Some(unsent))) => request = *unsent,
+                Err((error, None)) => return Err(error),
+            }
+        }
+        let mut connection =
+            Connection::connect(target.addr, answer_timeout.min(CONNECT_TIMEOUT)).await?;
+        let left = answer_timeout.saturating_sub(start.elapsed());
+        match connection.send(request, left).await {
+            Ok(response) => Ok((response, connection)),
+            Err((_, Some(_))) => Err(CallError::Unreachable),
+            Err((error, None)) => Err(error),
+        }
+    }
+
+    /// Keeps a connection for reuse after its answer was read to the end.
+    pub fn keep(
+        &self,
+        endpoint: EndpointKey,
+        connection: Connection,
+        keep_alive: Option<Duration>,
+    ) {
+        if connection.sender.is_closed() {
+            return;
+        }
+        let keep_alive = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(KEEP_ALIVE_MARGIN);
+        let expires_at = Instant::now() + keep_alive;
+        let mut idle = self.idle.borrow_mut();
+        let list = idle.entry(endpoint).or_default();
+        list.push(IdleConnection { connection, expires_at });
+        if MAX_IDLE_PER_ENDPOINT < list.len() {
+            list.remove(0);
+        }
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle(&self, endpoint: EndpointKey) {
+        self.idle.borrow_mut().remove(&endpoint);
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&self) {
+        let now = Instant::now();
+        let mut idle = self.idle.borrow_mut();
+        for list in idle.values_mut() {
+            list.retain(|entry| now < entry.expires_at && !entry.connection.sender.is_closed());
+        }
+        idle.retain(|_, list| !list.is_empty());
+    }
+
+    /// Returns the connection that was used last, so that surplus connections become idle and
+    /// close.
+    fn take_idle(&self, endpoint: EndpointKey) -> Option<Connection> {
+        let now = Instant::now();
+        let mut idle = self.idle.borrow_mut();
+        let list = idle.get_mut(&endpoint)?;
+        while let Some(entry) = list.pop() {
+            if now < entry.expires_at && entry.connection.is_ready() {
+                return Some(entry.connection);
+            }
+        }
+        None
+    }
+}
--- a/crates/basilbankd/src/signals.rs
+++ b/crates/basilbankd/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGINT.
+//! Handling of SIGTERM and SIGINT.
 
 use std::{io, process, thread};
 
@@ -11,33 +11,35 @@
     iterator::Signals,
 };
 
-/// Exit code after a second signal.
-const CUT: i32 = 1;
+/// Exit code if a second signal aborts the requests in progress.
+const EXIT_REQUESTS_ABORTED: i32 = 1;
 
-/// Shuts the daemon down on the first signal, and ends the process on the second.
+/// Starts a thread that shuts the daemon down on the first signal and exits the process on the
+/// second.
 ///
 /// # Errors
-/// The signals can't be caught.
-pub fn watch(daemon: &Daemon, log: LogFlush) -> io::Result<()> {
+/// The signal handlers can't be installed, or the thread can't be started.
+pub fn spawn_handler(daemon: &Daemon, log: LogFlush) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let shutdown = daemon.handle();
-    let serve = move || {
-        let mut caught = signals.forever();
-        if caught.next().is_some() {
+    let handle_signals = move || {
+        let mut received = signals.forever();
+        if received.next().is_some() {
             log::info!("{}", logs::Line::new("shutdown"));
             shutdown.start();
         }
-        if caught.next().is_some() {
-            cut(&shutdown, &log);
+        if received.next().is_some() {
+            abort_requests(&shutdown, &log);
         }
     };
-    thread::Builder::new().name("signals".to_owned()).spawn(serve)?;
+    thread::Builder::new().name("signals".to_owned()).spawn(handle_signals)?;
     Ok(())
 }
 
-fn cut(shutdown: &Shutdown, log: &LogFlush) -> ! {
+/// Logs the number of requests in progress and exits the process.
+fn abort_requests(shutdown: &Shutdown, log: &LogFlush) -> ! {
     let line = logs::Line::new("cut").with("requests", shutdown.in_progress());
     log::error!("{line}");
     log.flush();
-    process::exit(CUT)
+    process::exit(EXIT_REQUESTS_ABORTED)
 }
