--- a/crates/basilbank_core/src/tuning.rs
+++ b/crates/basilbank_core/src/tuning.rs
@@ -1,49 +1,53 @@
-//! Constants of the decisions that a settings file may change.
+//! The constants of the decisions. A settings file may override each of them.
 
 use std::time::Duration;
 
-/// How the decisions are tuned. All daemons of a fleet should have the same.
+/// The constants of the decisions. All daemons of a fleet should have the same values.
+///
+/// Each field is named like its settings key. The keys of durations also end in `_ms`.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Tuning {
-    /// Time between a daemon's heartbeats.
+    /// Interval between a daemon's heartbeats.
     pub heartbeat: Duration,
-    /// Peers that each heartbeat goes to.
+    /// Number of peers to which a daemon sends each heartbeat.
     pub fan_out: usize,
-    /// Without news for this long a member counts as dead.
+    /// Time without news of a member after which the member counts as dead.
     pub dead_after: Duration,
-    /// A gap between ticks that counts as a pause of the process.
+    /// Maximum time between two events of a daemon. A longer gap counts as a pause of its process.
     pub pause: Duration,
-    /// How long a slot is leased without renewal.
+    /// Time for which a slot is leased unless the lease is renewed.
     pub slot_lease: Duration,
-    /// How long to wait for a peer's answer before the message is sent again.
+    /// Time to wait for a peer's answer before the message is sent again.
     pub peer_timeout: Duration,
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts of one request, including the first.
     pub attempts: u32,
-    /// Retries allowed for each success, over recent requests.
+    /// Number of retries that are allowed per successful request, over recent requests.
     pub retry_ratio: f64,
-    /// First backoff; it doubles with each attempt and is jittered.
+    /// Backoff before the first retry. It doubles with each further attempt and is jittered.
     pub backoff: Duration,
-    /// Longest backoff.
+    /// Maximum backoff.
     pub max_backoff: Duration,
-    /// How long a prefill endpoint keeps a KV cache that no decode endpoint has taken.
+    /// Time for which a prefill endpoint keeps a KV cache that no decode endpoint has imported.
     pub kv_life: Duration,
-    /// A stream that gives no token for this long counts as broken.
+    /// Time without a token after which a stream counts as broken.
     pub stall: Duration,
-    /// Requests that wait in this daemon.
+    /// Maximum number of requests that wait in this daemon.
     pub queue: usize,
-    /// How long an idempotency key is remembered.
+    /// Time for which an idempotency key is remembered.
     pub key_window: Duration,
-    /// Idempotency keys remembered at once.
+    /// Maximum number of idempotency keys that a daemon remembers at once.
     pub keys: usize,
-    /// Clock skew allowed between callers and daemons, for keys that carry their time.
+    /// Maximum clock skew allowed between callers and daemons, for idempotency keys that contain
+    /// their creation time.
     pub skew: Duration,
-    /// Time between two reads of an endpoint's load.
+    /// Interval between two reads of an endpoint's load.
     pub load_interval: Duration,
-    /// Time between two lists of an endpoint's streams.
+    /// Interval between two requests for the list of an endpoint's streams.
     pub reap_interval: Duration,
-    /// How long the unread stream of a daemon that is gone is kept for a caller that resumes it.
+    /// Time for which the unread stream of a daemon that is gone is kept, so that its caller can
+    /// resume it.
     pub stream_grace: Duration,
-    /// After this long a stream that nobody reads is cancelled, whoever owns it.
+    /// Time after which a stream that nobody reads is cancelled, whichever daemon owns it.
     pub unread_limit: Duration,
 }
 
